--- a/crates/policy/examples/load_table.rs
+++ b/crates/policy/examples/load_table.rs
@@ -121,14 +121,14 @@
         module: "hot callers",
         pattern: PatternName::HotCaller,
         callers: "same customer's others",
-        off: |modules| modules.hot_callers = false,
+        off: |modules| modules.caller_pacing = false,
         chooses: |name| name.customer == "intake" && name.kind != "loop",
     },
     ModuleRow {
         module: "hot keys",
         pattern: PatternName::HotKey,
         callers: "writes to other keys",
-        off: |modules| modules.hot_callers = false,
+        off: |modules| modules.caller_pacing = false,
         chooses: |name| matches!(name.kind, "update" | "urgent" | "balance"),
     },
     ModuleRow {
--- a/crates/policy/src/account_connections.rs
+++ b/crates/policy/src/account_connections.rs
@@ -1,21 +1,20 @@
-//! Whose connections stay open where each belongs to one client account.
+//! Pool management for connections that are bound to client accounts.
 //!
-//! # The load it answers
+//! # Problem
 //!
 //! More accounts call than an endpoint takes connections, a few of them most of the time. A new
-//! connection holds a slot while it opens, for as long as a short statement runs.
+//! connection holds a slot while it opens, for as long as a short statement runs. If a connection
+//! were opened for each statement, a third of the slots' time would go to opening. If the
+//! connections were shared out evenly, accounts that call once would hold those that the busy ones
+//! need.
 //!
-//! # Without it
+//! # Approach
 //!
-//! With a connection opened for each statement, a third of the slots' time goes to opening. With the
-//! connections shared out evenly, accounts that call once hold those that the busy ones need.
-//!
-//! # Grounds for its figures
-//!
-//! A statement takes an idle connection of its account. Where there is none, one more is opened as long
-//! as half of the endpoint's connections aren't held; beyond that it takes the place of the one that was
-//! unused for longest, whoever's it is. The other half is left to transactions, which may hold many at
-//! once, and to a successor, while the endpoint still counts what a lost leaseholder held.
+//! A statement uses an idle connection of its account. Without one, another connection is opened as
+//! long as half of the endpoint's connections aren't held; beyond that it replaces the least
+//! recently used idle connection, whichever account that belongs to. The other half is left to
+//! transactions, which may hold many at once, and to a successor while the endpoint still counts
+//! the connections of a lost leaseholder.
 
 use crate::ClockTime;
 use crate::connections::connection_budget;
@@ -23,40 +22,42 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// The part of an endpoint's connections that are held for accounts which may come back.
-const KEPT_PART: (u32, u32) = (1, 2);
+/// The fraction of an endpoint's connections, as numerator and denominator, that is kept for
+/// accounts that may call again.
+const KEPT_FRACTION: (u32, u32) = (1, 2);
 
-/// The time in which the weight of a past statement halves.
+/// The half-life of a past statement's weight.
 const DEMAND_HALF_LIFE: Duration = Duration::from_secs(4);
 
-/// Demand below this is forgotten, in statements.
-const LEAST_DEMAND: f64 = 0.05;
+/// Demand below this, in statements, is dropped.
+const MIN_DEMAND: f64 = 0.05;
 
-/// A connection to an endpoint.
+/// A connection that this leaseholder holds to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldConnection<'a> {
-    /// Names it.
+    /// Identifies the connection.
     pub id: u64,
-    /// The account that it was opened for.
+    /// The account for which it was opened.
     pub account: Option<&'a AccountName>,
-    /// Whether nothing runs on it and no transaction holds it.
+    /// Whether no statement runs on it and no transaction holds it.
     pub idle: bool,
     /// When a statement last ended on it.
     pub last_used: ClockTime,
 }
 
-/// What is done for a statement whose account has no idle connection to the endpoint.
+/// The action for a statement whose account has no idle connection to the endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MissChoice {
-    /// Open one more.
+    /// Open another connection.
     Open,
-    /// Open one in place of the idle one of this name.
+    /// Close the idle connection with this id and open one in its place.
     Replace(u64),
 }
 
-/// Chooses what is done for a statement whose account has no idle connection to an endpoint that takes
-/// `connections` of them, and as far as is known only `room` of ours at present; `None` if there is room
-/// for none.
+/// Chooses the action for a statement whose account has no idle connection to an endpoint.
+///
+/// The endpoint takes `connections` connections in all, and at present, as far as is known, `room`
+/// from this leaseholder. Returns `None` if no connection can be opened.
 ///
 /// # Examples
 ///
@@ -72,7 +73,7 @@
     room: u32,
 ) -> Option<MissChoice> {
     let count = u32::try_from(held.len()).unwrap_or(u32::MAX);
-    let (part, whole) = KEPT_PART;
+    let (part, whole) = KEPT_FRACTION;
     if count < room.min(connections * part / whole) {
         return Some(MissChoice::Open);
     }
@@ -83,7 +84,7 @@
     }
 }
 
-/// How often each account called lately.
+/// The recent demand of each account: an exponentially decaying count of its statements.
 #[derive(Clone, Debug, Default)]
 pub struct AccountDemand {
     accounts: HashMap<AccountName, DemandRecord>,
@@ -103,7 +104,7 @@
 }
 
 impl AccountDemand {
-    /// Notes a statement of an account.
+    /// Records a statement of an account.
     pub fn note(&mut self, now: ClockTime, account: Option<&AccountName>) {
         let Some(account) = account else {
             return;
@@ -114,7 +115,7 @@
             return;
         }
         self.accounts
-            .retain(|_, record| record.at(now) >= LEAST_DEMAND);
+            .retain(|_, record| record.at(now) >= MIN_DEMAND);
         let record = DemandRecord {
             weight: 1.0,
             noted: now,
@@ -122,8 +123,8 @@
         self.accounts.insert(account.clone(), record);
     }
 
-    /// Chooses for whom to open a connection ahead: the account with the most statements for each
-    /// connection that it would hold then. `None` where nobody calls for an account.
+    /// Chooses the account for which to open a connection ahead: the one with the most statements
+    /// for each connection that it would then hold. Returns `None` if no account has called.
     pub fn choose(&self, now: ClockTime, held: &[HeldConnection<'_>]) -> Option<AccountName> {
         let mut counts: HashMap<&AccountName, u32> = HashMap::new();
         for account in held.iter().filter_map(|one| one.account) {
@@ -133,7 +134,7 @@
             let count = counts.get(account).copied().unwrap_or(0);
             (account, record.at(now) / f64::from(count + 1))
         });
-        // By name among equals, so that the same demand leads to the same choice.
+        // Ties are broken by name, so that the same demand leads to the same choice.
         let most = wanted.max_by(|(name, weight), (other, other_weight)| {
             weight.total_cmp(other_weight).then_with(|| other.cmp(name))
         });
--- a/crates/policy/src/account_ledger.rs
+++ b/crates/policy/src/account_ledger.rs
@@ -1,26 +1,26 @@
-//! The ledger of an account's limit: what of it each VM may use.
+//! Ledger of an account's rate limit, which grants each VM a share of it for a limited time.
 //!
-//! # The load it answers
+//! # Problem
 //!
-//! An account's callers come by all gateways and work on all groups. Its limit holds for all of them
-//! together, in every span of some seconds, also while VMs are cut off, frozen or replaced.
+//! An account's callers use all gateways and work on all groups. Its limit holds for all of them
+//! together, in every span of some seconds, also while VMs are cut off, frozen or replaced. If each
+//! VM that leads groups allowed the whole limit, several times the agreed rate would get through;
+//! with a fixed part for each, callers whose work happens to lie in one group would be refused.
 //!
-//! # Without it
+//! # Approach
 //!
-//! Each VM that leads groups would allow the whole limit, or a fixed part of it: the one lets through
-//! several times what was agreed, the other refuses callers whose work happens to lie in one group.
+//! Distributed rate limiting with expiring grants. The leaseholder of one group, the account's home
+//! group, keeps the ledger, so the group's lease decides which VM does. It lends shares of the
+//! rate, which expire after [`SHARE_LIFETIME`] unless they are renewed, and single operations from
+//! what isn't lent. All shares together never exceed the rate. A VM counts a share's lifetime from
+//! when it sent the request, the ledger from when it received it, so a share expires at its holder
+//! first.
 //!
-//! # How it holds
-//!
-//! The leaseholder of one group keeps the ledger, so that the group's lease decides who does. It lends
-//! shares of the rate, which end after [`SHARE_TIME`] unless they are renewed, and single operations
-//! from what isn't lent. All shares together never exceed the rate. A VM counts a share's time from when
-//! it asked, the ledger from when it was asked, so that the ledger's view of it ends last.
-//!
-//! A ledger that begins doesn't know what its predecessor lent. Until every VM that may hold something
-//! has said what it holds, or all of it must have ended, it renews what is declared and lends no more
-//! than a part of what is tolerated beyond a limit. Where all VMs have just started anew, nothing has begun
-//! since the last of them did, and what the limit allows for that time is there already.
+//! A new ledger doesn't know what its predecessor lent. Until every VM that may hold a share has
+//! declared it, or all shares must have expired, it renews declared shares and lends no more than a
+//! part of the tolerance beyond the limit. If all VMs have just been restarted, no operation can
+//! have begun since the last of them started, and what the limit allows for that time is available
+//! at once.
 
 use crate::ClockTime;
 use ragwort_types::AccountGrant;
@@ -34,42 +34,43 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long a share of a rate runs unless it is renewed: as long as it takes to replace the VM that lent
-/// it, so that callers don't notice.
-pub const SHARE_TIME: Duration = Duration::from_secs(2);
+/// The lifetime of a share unless it is renewed. It is as long as it takes to replace the VM that
+/// lent the share, so that callers don't notice.
+pub const SHARE_LIFETIME: Duration = Duration::from_secs(2);
 
-/// The longest span over which a limit is counted. Whoever has kept a ledger for so long knows all that
-/// counts.
-const LONGEST_SPAN: Duration = Duration::from_secs(5);
+/// The longest span over which a limit is enforced. A ledger that has been kept for that long knows
+/// every operation that counts.
+const LIMIT_WINDOW: Duration = Duration::from_secs(5);
 
-/// The part of a rate that is never lent as shares, so that a VM that begins to ask finds something.
-const UNLENT_PART: f64 = 0.1;
+/// The fraction of a rate that is never lent as shares, so that a VM that starts to ask can get
+/// some.
+const UNLENT_FRACTION: f64 = 0.1;
 
-/// What a VM's share allows beyond what was asked for there lately.
-const DEMAND_HEADROOM: f64 = 1.3;
+/// The ratio of a VM's share to its recent demand.
+const DEMAND_HEADROOM_FACTOR: f64 = 1.3;
 
-/// Below this rate, in operations a second, a VM gets single operations only: what a share allows is
-/// kept for a moment, in which it must come to one operation at least.
-const LEAST_SHARED_RATE: f64 = 8.0;
+/// Below this rate, in operations per second, a VM gets single operations only: what a share allows
+/// is kept for a moment, in which it must amount to at least one operation.
+const MIN_SHARED_RATE_PER_SECOND: f64 = 8.0;
 
-/// What a VM holds of an account's rate.
+/// A VM's share of an account's rate.
 #[derive(Clone, Copy, Debug)]
 struct LentShare {
     share: RateShare,
     until: ClockTime,
-    /// What is asked for there, in operations a second.
+    /// The VM's demand, in operations per second.
     demand: f64,
 }
 
-/// One account's ledger.
+/// The ledger of one account.
 #[derive(Clone, Debug, Default)]
 struct AccountLedger {
     lent: BTreeMap<VmName, LentShare>,
     /// Single operations that can be lent now.
     operations: f64,
-    /// Since when what the limit allows has not been added yet.
+    /// When the operations that the limit allows were last added.
     refilled: ClockTime,
-    /// Whether what is tolerated after a restart of all VMs was added.
+    /// Whether the extra operations after a restart of all VMs were added.
     restarted: bool,
 }
 
@@ -87,7 +88,7 @@
         others.map(|(_, lent)| lent.share.fraction()).sum()
     }
 
-    /// Returns the share that a VM's demand deserves among all demands.
+    /// Returns the fraction of the rate that a VM's demand entitles it to among all demands.
     fn deserved_fraction(&self, vm: &VmName, demand: f64, limit: AccountLimit) -> f64 {
         let rate = limit.rate();
         if demand <= 0.0 || rate <= 0.0 {
@@ -95,32 +96,32 @@
         }
         let others = self.lent.iter().filter(|(other, _)| *other != vm);
         let whole = demand + others.map(|(_, lent)| lent.demand).sum::<f64>();
-        let wanted = demand * DEMAND_HEADROOM / rate;
-        let fraction = wanted.min(demand / whole * (1.0 - UNLENT_PART));
-        match fraction * rate < LEAST_SHARED_RATE {
+        let wanted = demand * DEMAND_HEADROOM_FACTOR / rate;
+        let fraction = wanted.min(demand / whole * (1.0 - UNLENT_FRACTION));
+        match fraction * rate < MIN_SHARED_RATE_PER_SECOND {
             true => 0.0,
             false => fraction,
         }
     }
 }
 
-/// A group whose leaseholder this VM is, and with it the keeper of some ledgers.
+/// A group whose leaseholder is this VM, which therefore keeps the ledgers of the group's accounts.
 #[derive(Clone, Debug)]
 struct LedgerHome {
     epoch: PlacementEpoch,
     since: ClockTime,
-    /// The VMs that have said what they hold, and when their processes started.
+    /// The VMs that have declared their shares, and when their processes started.
     declared: BTreeMap<VmName, ClockTime>,
-    /// Since when it is known what all VMs hold.
+    /// Set once the shares of all VMs are known.
     known: Option<KnownHolders>,
 }
 
-/// How it is known what all VMs hold.
+/// How the shares of all VMs became known.
 #[derive(Clone, Copy, Debug)]
 struct KnownHolders {
-    /// Since when nothing began but what is known here.
+    /// The time since which every begun operation is known here.
     since: ClockTime,
-    /// Whether all VMs have started anew just before.
+    /// Whether all VMs have just been restarted.
     restarted: bool,
 }
 
@@ -142,11 +143,11 @@
                 since: now,
                 restarted: false,
             };
-            self.known = (now.since(self.since) >= SHARE_TIME).then_some(known);
+            self.known = (now.since(self.since) >= SHARE_LIFETIME).then_some(known);
             return;
         };
         let last = starts.iter().max().copied().unwrap_or(now);
-        let restarted = starts.iter().all(|start| now.since(*start) < LONGEST_SPAN);
+        let restarted = starts.iter().all(|start| now.since(*start) < LIMIT_WINDOW);
         self.known = Some(KnownHolders {
             since: match restarted {
                 true => last.min(now),
@@ -157,18 +158,18 @@
     }
 }
 
-/// A VM that asks, and those that may hold something.
+/// The circumstances of a VM's request to a ledger.
 #[derive(Clone, Copy, Debug)]
 pub struct LedgerQuestion<'a> {
-    /// Who asks.
+    /// The requesting VM.
     pub holder: &'a VmName,
-    /// When its process started.
+    /// When the process of the requesting VM started.
     pub started: ClockTime,
-    /// The group whose leaseholder keeps the account's ledger.
+    /// The account's home group, whose leaseholder keeps the ledger.
     pub home: &'a GroupName,
     /// The account's limit.
     pub limit: AccountLimit,
-    /// The VMs that may hold something.
+    /// The VMs that may hold shares.
     pub holders: &'a [VmName],
 }
 
@@ -180,43 +181,44 @@
     tolerance: LimitTolerance,
 }
 
-/// What is tolerated beyond a limit in a span, over all VMs.
+/// The tolerated excess over a limit within a span, over all VMs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LimitTolerance {
-    /// Operations.
+    /// The number of operations.
     pub operations: u32,
-    /// A part of what the limit allows in the span, in thousandths.
+    /// An additional part of what the limit allows in the span, in thousandths.
     pub per_mille: u32,
 }
 
 impl LimitTolerance {
     /// Returns how many operations beyond a limit are tolerated in a span.
     fn total(&self, limit: AccountLimit) -> f64 {
-        let allowed = limit.rate() * LONGEST_SPAN.as_secs_f64() + limit.burst as f64;
+        let allowed = limit.rate() * LIMIT_WINDOW.as_secs_f64() + limit.burst as f64;
         f64::from(self.operations) + allowed * f64::from(self.per_mille) / 1_000.0
     }
 
-    /// Returns how many operations a ledger may lend when it begins: a quarter of what is tolerated.
-    fn first_operations(&self, limit: AccountLimit) -> f64 {
+    /// Returns how many operations a new ledger may lend at once: a quarter of the tolerance.
+    fn initial_operations(&self, limit: AccountLimit) -> f64 {
         self.total(limit) / 4.0
     }
 
-    /// Returns how many more a ledger may lend when all VMs have started anew: none of them keeps anything
-    /// of before.
+    /// Returns how many more operations a new ledger may lend after a restart of all VMs, when none
+    /// of them holds a share from before: an eighth of the tolerance.
     fn restart_operations(&self, limit: AccountLimit) -> f64 {
         self.total(limit) / 8.0
     }
 
-    /// Returns how many operations each of so many VMs may let begin while the ledger is out of reach: a
-    /// half of what is tolerated for all of them. The rest is what VMs keep unused for a moment.
-    pub(crate) fn allowance(&self, limit: AccountLimit, holders: usize) -> u32 {
+    /// Returns how many operations each of `holders` VMs may admit while the ledger is unreachable:
+    /// half of the tolerance for all of them together. The rest covers what VMs keep unused for a
+    /// moment.
+    pub(crate) fn offline_allowance(&self, limit: AccountLimit, holders: usize) -> u32 {
         let holders = u32::try_from(holders.max(1)).unwrap_or(u32::MAX);
         (self.total(limit) / 2.0 / f64::from(holders)) as u32
     }
 }
 
 impl LedgerBook {
-    /// Creates a book.
+    /// Creates a book without ledgers.
     pub fn new(tolerance: LimitTolerance) -> Self {
         Self {
             tolerance,
@@ -224,10 +226,10 @@
         }
     }
 
-    /// Follows which groups this VM leads, and so whose ledgers it keeps.
+    /// Sets the groups that this VM leads, and thereby the ledgers that it keeps.
     ///
-    /// An epoch that went on by one is still this VM's: somebody else's term would have taken one, and
-    /// the way back another.
+    /// A group whose epoch has advanced by one still belongs to this VM: another VM's term would
+    /// have taken one step, and the way back another.
     pub fn follow_homes(&mut self, now: ClockTime, led: &BTreeMap<GroupName, PlacementEpoch>) {
         self.homes.retain(|group, home| {
             let epoch = led.get(group);
@@ -248,8 +250,8 @@
         }
     }
 
-    /// Notes that a VM has said what it holds of all accounts whose ledger a group's leaseholder keeps.
-    /// Returns false if they aren't kept here.
+    /// Records that a VM has declared its shares of all accounts with this home group. Returns
+    /// false if their ledgers aren't kept here.
     pub fn note_declared(
         &mut self,
         group: &GroupName,
@@ -263,7 +265,8 @@
         true
     }
 
-    /// Answers what a VM asks of an account; `None` if the account's ledger isn't kept here.
+    /// Answers a VM's request for an account; returns `None` if the account's ledger isn't kept
+    /// here.
     pub fn lend(
         &mut self,
         now: ClockTime,
@@ -283,11 +286,11 @@
         let ledger = self.ledgers.entry((home.clone(), need.account.clone()));
         let ledger = ledger.or_insert_with(|| AccountLedger {
             lent: BTreeMap::new(),
-            operations: match age >= LONGEST_SPAN {
+            operations: match age >= LIMIT_WINDOW {
                 true => limit.burst as f64,
                 false => self
                     .tolerance
-                    .first_operations(limit)
+                    .initial_operations(limit)
                     .min(limit.burst as f64),
             },
             refilled: ClockTime::default(),
@@ -296,7 +299,7 @@
         if let Some(known) = known {
             ledger.refilled = ledger.refilled.max(known.since);
             ledger.refill(now, limit);
-            if known.restarted && !ledger.restarted && age < LONGEST_SPAN {
+            if known.restarted && !ledger.restarted && age < LIMIT_WINDOW {
                 ledger.restarted = true;
                 let more = self.tolerance.restart_operations(limit);
                 ledger.operations = (ledger.operations + more).min(limit.burst as f64);
@@ -311,10 +314,11 @@
             Some(_) => deserved.min(free),
             None => deserved.min(held),
         };
-        // Until it asks again it may not have heard of a smaller share.
+        // The VM may use its old share until it receives this answer, so the larger of the two is
+        // counted.
         let lent = LentShare {
             share: share.max(held),
-            until: now + SHARE_TIME,
+            until: now + SHARE_LIFETIME,
             demand,
         };
         ledger.lent.insert(holder.clone(), lent);
--- a/crates/policy/src/account_shares.rs
+++ b/crates/policy/src/account_shares.rs
@@ -1,25 +1,24 @@
-//! What one VM may use of the accounts' limits, and what it asks their ledgers for.
+//! A VM's shares of the accounts' rate limits.
 //!
-//! # The load it answers
+//! # Problem
 //!
-//! Operations of hundreds of accounts arrive at a VM that leads groups, most of them of a few accounts.
-//! Each must be let in or refused at once.
+//! Operations of hundreds of accounts arrive at a VM that leads groups, most of them of a few
+//! accounts. Each must be admitted or refused at once. If each waited for an answer of its
+//! account's ledger, it would take a round trip between failure domains, and all of an account's
+//! work would stop with the one VM that keeps its ledger.
 //!
-//! # Without it
+//! # Approach
 //!
-//! Each operation would wait for an answer of its account's ledger, a way there and back between failure
-//! domains, and all of an account's work would stop with the one VM that keeps its ledger.
-//!
-//! # Grounds for its figures
-//!
-//! An account that is asked for often holds a share of its rate here, renewed several times in the
-//! share's time. What accrues by it is kept for [`SHARE_MEMORY`] at most, and single operations are used
-//! within the same time or not at all: in any span no more is begun than the limit allows for the span
-//! and that time. While a ledger can't be reached, some are let in without it, a part of what is tolerated beyond the limit.
+//! A token bucket for each account. An account in frequent use holds a share of its rate here,
+//! which is renewed several times in its lifetime and fills the bucket. Tokens are kept for
+//! [`SHARE_BUCKET_TIME`] at most, and single operations that were lent are used within the same
+//! time or not at all. In any span no more operations are begun than the limit allows for the span
+//! and that time. While a ledger is unreachable, a part of the tolerated excess over the limit is
+//! admitted without it.
 
 use crate::ClockTime;
 use crate::account_ledger::LimitTolerance;
-use crate::account_ledger::SHARE_TIME;
+use crate::account_ledger::SHARE_LIFETIME;
 use ragwort_types::AccountGrant;
 use ragwort_types::AccountLimit;
 use ragwort_types::AccountName;
@@ -28,73 +27,74 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long what a share allows is kept unused.
-const SHARE_MEMORY: Duration = Duration::from_millis(150);
+/// The depth of the token bucket, as the time in which the share fills it.
+const SHARE_BUCKET_TIME: Duration = Duration::from_millis(150);
 
-/// How often a share is renewed.
-const RENEW_EVERY: Duration = Duration::from_millis(400);
+/// The interval at which a share is renewed.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How often it's looked whether a share is far larger than what is asked for.
-const RETURN_EVERY: Duration = Duration::from_millis(150);
+/// The interval at which a share that far exceeds the demand is reduced.
+const RETURN_CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// A share of a rate so many times the demand is given back without waiting for its renewal.
-const UNNEEDED_FACTOR: f64 = 2.0;
+/// A share of more than this multiple of the demand is given back without waiting for its renewal.
+const EXCESS_SHARE_FACTOR: f64 = 2.0;
 
-/// The time over which demand is averaged.
-const DEMAND_TIME: Duration = Duration::from_secs(1);
+/// The time constant of the moving average of demand.
+const DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(1);
 
-/// An account that was unused for so long is forgotten.
-const FORGET_AFTER: Duration = Duration::from_secs(10);
+/// An account that was unused for this long is dropped.
+const IDLE_ACCOUNT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The span in which operations are let in without a ledger only once.
-const ALLOWANCE_SPAN: Duration = Duration::from_secs(10);
+/// The window in which the allowance for operations without a ledger is granted once.
+const OFFLINE_ALLOWANCE_WINDOW: Duration = Duration::from_secs(10);
 
-/// The shortest and the longest time after which a refused caller is told to come back, in milliseconds.
-const RETURN_MILLIS: (u64, u64) = (100, 2_000);
+/// The minimum and maximum time after which a refused caller is told to retry, in milliseconds.
+const RETRY_AFTER_RANGE_MILLIS: (u64, u64) = (100, 2_000);
 
-/// What becomes of an operation.
+/// The result of a request to begin an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TakeDecision {
-    /// It may begin.
+    /// The operation may begin.
     Taken,
-    /// The ledger must be asked; the answer says how many of those that wait may begin.
+    /// The ledger must be asked. Its answer decides how many of the waiting operations may begin.
     Waits,
 }
 
-/// What becomes of those that waited for an answer, the first ones first.
+/// What an answer, or its absence, means for the waiting operations in their order of arrival.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WaitersEnd {
-    /// How many may begin.
+    /// The number of operations that may begin.
     pub begun: u32,
-    /// How many after those are refused.
+    /// The number of operations after those that are refused.
     pub refused: u32,
 }
 
-/// What one VM holds of one account's limit.
+/// One VM's share of one account's limit.
 #[derive(Clone, Debug)]
 struct AccountShare {
     limit: AccountLimit,
     share: RateShare,
     until: ClockTime,
-    /// Operations that the share allows now.
-    level: f64,
+    /// The tokens in the bucket, in operations.
+    tokens: f64,
     refilled: ClockTime,
     /// Single operations that were lent, and until when they may begin.
     operations: u32,
     operations_until: ClockTime,
-    /// Operations asked for, in a second.
+    /// The demand, in operations per second.
     demand: f64,
     noted: ClockTime,
     waiting: u32,
-    /// Those of them that wait for the answer which is under way.
-    asking: u32,
-    /// Whether an answer is under way.
-    asked: bool,
+    /// The waiting operations that the pending request was sent for.
+    awaiting_answer: u32,
+    /// Whether a request to the ledger is pending.
+    request_in_flight: bool,
     /// When the ledger was last asked.
-    asked_at: Option<ClockTime>,
-    /// Operations that were let in without a word of the ledger, and since when they are counted.
-    begun_alone: u32,
-    alone_since: ClockTime,
+    last_asked: Option<ClockTime>,
+    /// Operations that were admitted without the ledger, and the start of the window in which they
+    /// are counted.
+    admitted_offline: u32,
+    offline_window_start: ClockTime,
 }
 
 impl AccountShare {
@@ -103,30 +103,30 @@
             limit,
             share: RateShare::default(),
             until: now,
-            level: 0.0,
+            tokens: 0.0,
             refilled: now,
             operations: 0,
             operations_until: now,
             demand: 0.0,
             noted: now,
             waiting: 0,
-            asking: 0,
-            asked: false,
-            asked_at: None,
-            begun_alone: 0,
-            alone_since: now,
+            awaiting_answer: 0,
+            request_in_flight: false,
+            last_asked: None,
+            admitted_offline: 0,
+            offline_window_start: now,
         }
     }
 
     fn refill(&mut self, now: ClockTime) {
         let rate = self.limit.rate() * self.share.fraction();
         let span = now.min(self.until).since(self.refilled);
-        let most = rate * SHARE_MEMORY.as_secs_f64();
-        self.level = (self.level + rate * span.as_secs_f64()).min(most);
+        let most = rate * SHARE_BUCKET_TIME.as_secs_f64();
+        self.tokens = (self.tokens + rate * span.as_secs_f64()).min(most);
         self.refilled = now;
         if now >= self.until {
             self.share = RateShare::default();
-            self.level = 0.0;
+            self.tokens = 0.0;
         }
         if now >= self.operations_until {
             self.operations = 0;
@@ -134,15 +134,15 @@
     }
 
     fn decay_demand(&mut self, now: ClockTime) {
-        let passed = now.since(self.noted).as_secs_f64() / DEMAND_TIME.as_secs_f64();
+        let passed = now.since(self.noted).as_secs_f64() / DEMAND_TIME_CONSTANT.as_secs_f64();
         self.demand *= (-passed).exp();
         self.noted = now;
     }
 
     fn take(&mut self, now: ClockTime) -> bool {
         self.refill(now);
-        if self.level >= 1.0 {
-            self.level -= 1.0;
+        if self.tokens >= 1.0 {
+            self.tokens -= 1.0;
             return true;
         }
         if self.operations > 0 {
@@ -153,19 +153,19 @@
     }
 
     fn is_due(&self, now: ClockTime) -> bool {
-        let since = self.asked_at.map(|asked| now.since(asked));
+        let since = self.last_asked.map(|asked| now.since(asked));
         let since = since.unwrap_or(Duration::MAX);
         let holds = self.share > RateShare::default();
-        // What isn't needed here any more may be needed where the callers have gone.
+        // A share that is no longer needed here may be needed where the callers have moved to.
         let rate = self.limit.rate() * self.share.fraction();
-        let returns = rate > self.demand * UNNEEDED_FACTOR;
-        let due = since >= RENEW_EVERY || (returns && since >= RETURN_EVERY);
-        !self.asked && (self.waiting > 0 || (holds && due))
+        let returns = rate > self.demand * EXCESS_SHARE_FACTOR;
+        let due = since >= RENEWAL_INTERVAL || (returns && since >= RETURN_CHECK_INTERVAL);
+        !self.request_in_flight && (self.waiting > 0 || (holds && due))
     }
 
     fn describe(&self, account: &AccountName) -> AccountNeed {
-        // A second operation soon after the first needn't ask again.
-        let soon = self.demand * SHARE_MEMORY.as_secs_f64();
+        // Asks for more than one operation, so that another one soon after needn't ask again.
+        let soon = self.demand * SHARE_BUCKET_TIME.as_secs_f64();
         let wants = match self.waiting {
             0 => 0,
             waiting => waiting + soon as u32,
@@ -179,12 +179,12 @@
     }
 }
 
-/// What one VM holds of all accounts' limits.
+/// One VM's shares of all accounts' limits.
 #[derive(Clone, Debug, Default)]
 pub struct LimitShares {
     accounts: BTreeMap<AccountName, AccountShare>,
     tolerance: LimitTolerance,
-    /// How many VMs let operations begin.
+    /// The number of VMs that admit operations.
     holders: usize,
     /// When this process started.
     started: ClockTime,
@@ -192,7 +192,7 @@
 }
 
 impl LimitShares {
-    /// Creates what a process holds that starts now: nothing.
+    /// Creates the state of a process that starts now and holds no shares.
     pub fn new(started: ClockTime) -> Self {
         Self {
             started,
@@ -200,14 +200,14 @@
         }
     }
 
-    /// Sets what is tolerated beyond limits, and how many VMs let operations begin.
+    /// Sets the tolerated excess over limits, and the number of VMs that admit operations.
     pub fn set_holders(&mut self, tolerance: LimitTolerance, holders: usize) {
         self.tolerance = tolerance;
         self.holders = holders;
     }
 
-    /// Lets an operation begin, or says that the ledger must be asked. One that waits is counted until
-    /// [`take_grant`](Self::take_grant) or [`give_up`](Self::give_up).
+    /// Admits an operation, or returns that the ledger must be asked. An operation that waits is
+    /// counted until [`take_grant`](Self::take_grant) or [`give_up`](Self::give_up).
     pub fn take(
         &mut self,
         now: ClockTime,
@@ -215,8 +215,9 @@
         limit: AccountLimit,
     ) -> TakeDecision {
         if !self.accounts.contains_key(account) {
-            self.accounts
-                .retain(|_, share| share.waiting > 0 || now.since(share.noted) < FORGET_AFTER);
+            self.accounts.retain(|_, share| {
+                share.waiting > 0 || now.since(share.noted) < IDLE_ACCOUNT_TIMEOUT
+            });
             self.accounts
                 .insert(account.clone(), AccountShare::new(now, limit));
         }
@@ -226,7 +227,7 @@
         share.refill(now);
         share.limit = limit;
         share.decay_demand(now);
-        share.demand += 1.0 / DEMAND_TIME.as_secs_f64();
+        share.demand += 1.0 / DEMAND_TIME_CONSTANT.as_secs_f64();
         if share.waiting == 0 && share.take(now) {
             return TakeDecision::Taken;
         }
@@ -234,17 +235,17 @@
         TakeDecision::Waits
     }
 
-    /// Gives an operation back that has not reached an endpoint.
+    /// Returns an operation that hasn't reached an endpoint to the account.
     pub fn give_back(&mut self, now: ClockTime, account: &AccountName) {
         if let Some(share) = self.accounts.get_mut(account) {
             share.refill(now);
             share.operations += 1;
-            share.operations_until = share.operations_until.max(now + SHARE_MEMORY);
+            share.operations_until = share.operations_until.max(now + SHARE_BUCKET_TIME);
         }
     }
 
-    /// Lists the accounts of which the ledger must be asked now, and notes that it is. Those that
-    /// `may_ask` says no to are left for a later look.
+    /// Returns the requests that are due now and marks them as sent. Accounts that `may_ask`
+    /// rejects are left for a later call.
     pub fn due_needs(
         &mut self,
         now: ClockTime,
@@ -253,18 +254,18 @@
         let mut needs = Vec::new();
         for (account, share) in &mut self.accounts {
             share.refill(now);
-            share.decay_demand_for_look(now);
+            share.decay_demand_without_use(now);
             if share.is_due(now) && may_ask(account) {
-                share.asked = true;
-                share.asked_at = Some(now);
-                share.asking = share.waiting;
+                share.request_in_flight = true;
+                share.last_asked = Some(now);
+                share.awaiting_answer = share.waiting;
                 needs.push(share.describe(account));
             }
         }
         needs
     }
 
-    /// Lists what is held of the accounts that `at_home` names, for a ledger that begins.
+    /// Returns the shares of the accounts that `at_home` accepts, to declare them to a new ledger.
     pub fn list_held(
         &mut self,
         now: ClockTime,
@@ -273,14 +274,14 @@
         let held = self.accounts.iter_mut().filter(|(name, _)| at_home(name));
         let held = held.filter_map(|(account, share)| {
             share.refill(now);
-            share.decay_demand_for_look(now);
+            share.decay_demand_without_use(now);
             (share.share > RateShare::default()).then(|| share.describe(account))
         });
         held.collect()
     }
 
-    /// Takes a ledger's answer to what was asked at `sent`, and says what becomes of those that waited
-    /// for it.
+    /// Applies a ledger's answer to the request that was sent at `sent`, and returns what it means
+    /// for the waiting operations.
     pub fn take_grant(
         &mut self,
         now: ClockTime,
@@ -292,55 +293,57 @@
         };
         share.refill(now);
         share.share = grant.share;
-        share.until = sent + SHARE_TIME;
-        if now.since(sent) < SHARE_MEMORY {
+        share.until = sent + SHARE_LIFETIME;
+        if now.since(sent) < SHARE_BUCKET_TIME {
             share.operations += grant.operations;
-            share.operations_until = share.operations_until.max(sent + SHARE_MEMORY);
+            share.operations_until = share.operations_until.max(sent + SHARE_BUCKET_TIME);
         }
         share.refill(now);
         share.settle_waiting(now)
     }
 
-    /// Notes that an account's ledger gave no answer, and says what becomes of those that waited for it.
+    /// Records that an account's ledger didn't answer, and returns what that means for the waiting
+    /// operations.
     pub fn give_up(&mut self, now: ClockTime, account: &AccountName) -> WaitersEnd {
         let Some(share) = self.accounts.get_mut(account) else {
             return WaitersEnd::default();
         };
-        // The process before this one may have let in as many a moment ago.
-        let allowance = match now.since(self.started) < ALLOWANCE_SPAN {
+        // The previous process may have admitted as many just before it ended.
+        let offline_allowance = match now.since(self.started) < OFFLINE_ALLOWANCE_WINDOW {
             true => 0,
-            false => self.tolerance.allowance(share.limit, self.holders),
+            false => self.tolerance.offline_allowance(share.limit, self.holders),
         };
-        if now.since(share.alone_since) >= ALLOWANCE_SPAN {
-            share.begun_alone = 0;
-            share.alone_since = now;
+        if now.since(share.offline_window_start) >= OFFLINE_ALLOWANCE_WINDOW {
+            share.admitted_offline = 0;
+            share.offline_window_start = now;
         }
-        let spare = allowance
-            .saturating_sub(share.begun_alone)
-            .min(share.asking);
-        share.begun_alone += spare;
+        let spare = offline_allowance
+            .saturating_sub(share.admitted_offline)
+            .min(share.awaiting_answer);
+        share.admitted_offline += spare;
         share.waiting -= spare;
-        share.asking -= spare;
-        // What the share still allows comes within the time in which the ledger is asked again.
+        share.awaiting_answer -= spare;
+        // The share will allow these operations before the ledger is asked again, so they keep
+        // waiting.
         share.refill(now);
-        let soon = share.limit.rate() * share.share.fraction() * SHARE_MEMORY.as_secs_f64();
-        share.asking = share.asking.saturating_sub(soon as u32);
+        let soon = share.limit.rate() * share.share.fraction() * SHARE_BUCKET_TIME.as_secs_f64();
+        share.awaiting_answer = share.awaiting_answer.saturating_sub(soon as u32);
         let mut end = share.settle_waiting(now);
         end.begun += spare;
         end
     }
 
-    /// Returns when a refused caller of an account may come back, in milliseconds.
+    /// Returns when a refused caller of an account may retry, in milliseconds.
     pub fn return_after(&mut self, limit: AccountLimit) -> u64 {
         self.refused += 1;
-        let (shortest, longest) = RETURN_MILLIS;
+        let (shortest, longest) = RETRY_AFTER_RANGE_MILLIS;
         let turn = (1_000.0 / limit.rate().max(0.001)).min(longest as f64) as u64;
         let turn = turn.clamp(shortest, longest);
-        // The step and the spread have no common divisor, so that the whole spread is used.
+        // The step 83 and the usual spreads are coprime, so the offsets cover the whole spread.
         turn + self.refused * 83 % turn
     }
 
-    /// Returns an account's share and for how long it still runs.
+    /// Returns an account's share and its remaining lifetime.
     pub fn describe(&self, now: ClockTime, account: &AccountName) -> (RateShare, Duration) {
         let share = self.accounts.get(account);
         share.map_or_else(Default::default, |held| (held.share, held.until.since(now)))
@@ -348,26 +351,26 @@
 }
 
 impl AccountShare {
-    fn decay_demand_for_look(&mut self, now: ClockTime) {
+    fn decay_demand_without_use(&mut self, now: ClockTime) {
         let noted = self.noted;
         self.decay_demand(now);
-        // Only operations keep an account from being forgotten.
+        // Only operations keep an account from being dropped.
         if self.demand < 0.01 {
             self.noted = noted;
         }
     }
 
-    /// Lets those that wait begin as far as there is something; of the others, those are refused that
-    /// waited for the answer.
+    /// Admits waiting operations as far as tokens allow. Of the others, those that waited for the
+    /// answer are refused.
     fn settle_waiting(&mut self, now: ClockTime) -> WaitersEnd {
         let mut end = WaitersEnd::default();
         while self.waiting > end.begun && self.take(now) {
             end.begun += 1;
         }
-        end.refused = self.asking.saturating_sub(end.begun);
+        end.refused = self.awaiting_answer.saturating_sub(end.begun);
         self.waiting -= end.begun + end.refused;
-        self.asking = 0;
-        self.asked = false;
+        self.awaiting_answer = 0;
+        self.request_in_flight = false;
         end
     }
 }
--- a/crates/policy/src/connections.rs
+++ b/crates/policy/src/connections.rs
@@ -1,79 +1,82 @@
-//! Connections opened ahead, under a budget.
+//! Pool sizing: how many connections to open ahead and which surplus to close.
 //!
-//! # The load it answers
+//! # Problem
 //!
-//! A burst arrives at a group whose connections are closed, or many transactions open at once. Beside
-//! it, the opposite: few statements for endpoints that could run a hundred at once.
+//! A burst arrives at a group without open connections, or many transactions open at once. If each
+//! request of the burst opened a connection of its own, at 12 ms each, there would be more of them
+//! than slots, until the endpoint's 16 are used up and none is left for the leaseholder's
+//! successor.
 //!
-//! # Without it
+//! The opposite case is an endpoint that could run a hundred statements at once and gets few. With
+//! a connection for each slot, a VM that leads some groups holds thousands that nobody uses. Each
+//! takes memory and is validated again and again, until descriptors, processor or memory of the VM
+//! are used up. The same happens with few connections to each of hundreds of endpoints, when VMs
+//! fail and the remaining ones lead all groups.
 //!
-//! Each request of the burst opens a connection of its own: 12 ms each, more of them than there are
-//! slots, until the endpoint's 16 are used up and none is left for a successor. With a connection for
-//! each of many slots, a VM that leads some groups holds thousands that nobody uses: each takes memory
-//! and is asked again and again whether it still answers, until descriptors, processor or memory of
-//! the VM are used up by them. The same happens with few connections to each of hundreds of endpoints,
-//! when VMs fail and the remaining ones lead all groups.
+//! # Approach
 //!
-//! # Grounds for its figures
+//! A VM may use a part of its descriptors for connections to all endpoints together
+//! ([`ConnectionAllowance`]), and keeps [`MIN_OPEN_TOTAL`] of them open at any load, spread over
+//! the endpoints. Statements outside of transactions never need more connections than slots, or
+//! than twice the slots where statements are sent ahead. Of these, up to [`MIN_OPEN_PER_ENDPOINT`]
+//! are always kept open, fewer where the VM has many endpoints; beyond that, twice the recent peak
+//! of concurrent statements, so that a load that doubles finds its connections open, and one for
+//! each waiting request.
 //!
-//! A VM may hold a part of its descriptors as connections to all endpoints together
-//! ([`ConnectionAllowance`]), and keeps [`KEPT_IN_ALL`] of them open whatever the load, spread over the
-//! endpoints. Statements outside of transactions never need more connections than slots, or twice as many where
-//! statements are sent ahead. Up to [`FEWEST_CONNECTIONS`] of these are kept open always, fewer
-//! where the VM has many endpoints; beyond them,
-//! twice as many as were sent at once lately, so that a load that doubles finds them open, and one for
-//! each request that waits. Each open transaction holds one more. One is
-//! kept open beyond that, and one for each transaction that waits to be opened. Three connections
-//! stay unused for a successor: two slots' worth and one for its probe. At most two are opened at a
-//! time for one endpoint, or a quarter of its slots, since each takes a slot while it opens.
+//! Each open transaction holds one more connection. One more is kept open beyond that, and one for
+//! each transaction that waits to be opened. Three connections are left for a successor: two slots'
+//! worth and one for its probe. At most two connections are opened at a time to one endpoint, or a
+//! quarter of its slots if that is more, because each takes a slot while it opens.
 
 use crate::ClockTime;
 use crate::endpoints::EndpointRecord;
 use std::time::Duration;
 
-/// Connections of each endpoint that are left to the next leaseholder.
+/// Number of an endpoint's connections that are left for the next leaseholder.
 pub(crate) const SUCCESSOR_RESERVE: u32 = 3;
 
-/// Connections that are opened at the same time to one endpoint of few slots.
+/// Maximum number of connections that are opened at the same time to an endpoint with few slots.
 const OPENING_LIMIT: u32 = 2;
 
-/// The part of an endpoint's slots that opening connections may take.
+/// Connections that are being opened may take the endpoint's slots divided by this, if that is
+/// more.
 const OPENING_DIVISOR: u32 = 4;
 
-/// Connections for statements outside of transactions that are kept open whatever the load, where the
-/// endpoint has as many slots.
-const FEWEST_CONNECTIONS: u32 = 8;
+/// Number of connections for statements outside of transactions that are kept open to an endpoint
+/// at any load, if it has as many slots.
+const MIN_OPEN_PER_ENDPOINT: u32 = 8;
 
-/// Connections that a VM keeps open whatever the load, to all its endpoints together.
-const KEPT_IN_ALL: u32 = 512;
+/// Number of connections that a VM keeps open at any load to all of its endpoints together.
+const MIN_OPEN_TOTAL: u32 = 512;
 
-/// The part of a VM's connections beyond which they are scarce: none is opened ahead, and those that
-/// nothing uses at present are closed.
-const SCARCE_PART: (u32, u32) = (3, 4);
+/// The fraction of a VM's connections, as numerator and denominator, at which they become scarce:
+/// none is opened ahead, and unused ones are closed.
+const SCARCE_FRACTION: (u32, u32) = (3, 4);
 
-/// The part below which they are scarce no more. Nearer to the other mark, what is closed at one moment
-/// would be opened again at the next.
-const AMPLE_PART: (u32, u32) = (1, 2);
+/// The fraction below which connections are no longer scarce. If it were closer to
+/// [`SCARCE_FRACTION`], connections would be closed and opened again in turn.
+const AMPLE_FRACTION: (u32, u32) = (1, 2);
 
-/// How long a peak of the load keeps its connections open at least. It is kept twice as long at most.
-const PEAK_MEMORY: Duration = Duration::from_secs(5);
+/// The minimum time for which a load peak keeps its connections open; the maximum is twice as long.
+const PEAK_WINDOW: Duration = Duration::from_secs(5);
 
-/// Connections kept open beyond those in use.
+/// Number of connections kept open beyond those in use.
 const SPARE_CONNECTIONS: u32 = 1;
 
-/// No connection is opened for this long after one failed to open.
+/// The pause in opening connections after one failed to open.
 pub(crate) const FAILED_OPEN_PAUSE: Duration = Duration::from_millis(100);
 
-/// How many connections a VM may hold to the endpoints of all groups that it leads, and what it holds.
+/// The number of connections that a VM may hold and holds to the endpoints of all groups that it
+/// leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionAllowance {
-    /// The most that it may hold.
+    /// The maximum number of connections.
     pub most: u32,
-    /// What it holds, open or opening.
+    /// The number of connections that are open or being opened.
     pub held: u32,
-    /// The endpoints that it holds them to.
+    /// The number of endpoints to which they are held.
     pub endpoints: u32,
-    /// Whether they are scarce; see [`is_scarce_after`](Self::is_scarce_after).
+    /// Whether connections are scarce; see [`is_scarce_after`](Self::is_scarce_after).
     pub scarce: bool,
 }
 
@@ -90,101 +93,106 @@
 }
 
 impl ConnectionAllowance {
-    /// Returns how many more may be opened for requests that wait for one.
+    /// Returns how many more connections may be opened for requests that wait for one.
     pub fn room(&self) -> u32 {
         self.most.saturating_sub(self.held)
     }
 
-    /// Says whether connections are scarce now, by whether they were before.
+    /// Returns whether connections are scarce now. The threshold depends on whether they were
+    /// scarce `before`.
     pub fn is_scarce_after(&self, before: bool) -> bool {
         let (part, whole) = match before {
-            true => AMPLE_PART,
-            false => SCARCE_PART,
+            true => AMPLE_FRACTION,
+            false => SCARCE_FRACTION,
         };
         self.held >= self.most / whole * part
     }
 
-    /// Returns how many more may be opened ahead of need.
+    /// Returns how many more connections may be opened ahead of need.
     fn room_ahead(&self) -> u32 {
-        let (part, whole) = SCARCE_PART;
+        let (part, whole) = SCARCE_FRACTION;
         match self.scarce {
             true => 0,
             false => (self.most / whole * part).saturating_sub(self.held),
         }
     }
 
-    /// Returns how many are kept open to each endpoint whatever the load.
-    fn kept_for_each(&self) -> u32 {
-        (KEPT_IN_ALL / self.endpoints.max(1)).clamp(1, FEWEST_CONNECTIONS)
+    /// Returns how many connections are kept open to each endpoint at any load.
+    fn min_open_per_endpoint(&self) -> u32 {
+        (MIN_OPEN_TOTAL / self.endpoints.max(1)).clamp(1, MIN_OPEN_PER_ENDPOINT)
     }
 
-    /// Returns how many are left open to each endpoint beyond those that the load needs.
-    fn left_for_each(&self) -> u32 {
-        SURPLUS_LEFT.min(self.kept_for_each() / 2).max(1)
+    /// Returns how many connections beyond those that the load needs are left open to each
+    /// endpoint.
+    fn surplus_kept_per_endpoint(&self) -> u32 {
+        MAX_SURPLUS_KEPT
+            .min(self.min_open_per_endpoint() / 2)
+            .max(1)
     }
 
-    /// Returns how many of an endpoint's connections in doubt are replaced ahead: where few are kept, no
-    /// more than would stay open when the doubt has ended.
-    fn replaced_ahead(&self, doubted: u32) -> u32 {
-        match self.kept_for_each() == FEWEST_CONNECTIONS {
-            true => doubted,
-            false => doubted.min(self.left_for_each()),
+    /// Returns how many of an endpoint's connections under validation are replaced ahead: where few
+    /// are kept open, no more than would stay open after the validation.
+    fn replacements_ahead(&self, validating: u32) -> u32 {
+        match self.min_open_per_endpoint() == MIN_OPEN_PER_ENDPOINT {
+            true => validating,
+            false => validating.min(self.surplus_kept_per_endpoint()),
         }
     }
 }
 
-/// The most of something in the last seconds.
+/// The maximum of a count over a sliding time window.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RecentPeak {
-    present: u32,
-    before: u32,
-    since: ClockTime,
+    current: u32,
+    previous: u32,
+    window_start: ClockTime,
 }
 
 impl RecentPeak {
-    /// Notes how many there are now.
+    /// Records the present count.
     pub(crate) fn note(&mut self, now: ClockTime, count: u32) {
-        if now.since(self.since) >= PEAK_MEMORY {
-            self.before = match now.since(self.since) >= PEAK_MEMORY * 2 {
+        if now.since(self.window_start) >= PEAK_WINDOW {
+            self.previous = match now.since(self.window_start) >= PEAK_WINDOW * 2 {
                 true => 0,
-                false => self.present,
+                false => self.current,
             };
-            self.present = 0;
-            self.since = now;
+            self.current = 0;
+            self.window_start = now;
         }
-        self.present = self.present.max(count);
+        self.current = self.current.max(count);
     }
 
-    /// Returns the most that were noted.
-    pub(crate) fn most(&self) -> u32 {
-        self.present.max(self.before)
+    /// Returns the maximum of the counts recorded in the window.
+    pub(crate) fn peak(&self) -> u32 {
+        self.current.max(self.previous)
     }
 }
 
-/// Connections that are left open beyond those that the load needs.
+/// Maximum number of connections that are left open beyond those that the load needs.
 ///
-/// Connections in doubt are replaced ahead, so that there are some more as soon as they have answered.
-/// Closed then, they would be opened again at the next doubt, seconds later.
-const SURPLUS_LEFT: u32 = 4;
+/// Connections under validation are replaced ahead, so there is a surplus as soon as they have
+/// answered. If it were closed then, it would be opened again at the next validation, seconds
+/// later.
+const MAX_SURPLUS_KEPT: u32 = 4;
 
-/// What an endpoint's connections are needed for.
+/// The load for which an endpoint needs connections.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConnectionNeed {
-    /// The statements that may be sent to it at once.
-    pub(crate) sent: u32,
-    /// The waiting requests that may need a connection there.
+    /// The maximum number of statements in flight outside of transactions.
+    pub(crate) max_in_flight: u32,
+    /// The number of waiting requests that may need a connection to it.
     pub(crate) waiting: u32,
-    /// Those of them that will open a transaction.
+    /// The number of those that will open a transaction.
     pub(crate) openers: u32,
 }
 
-/// Returns the most connections that one leaseholder opens to an endpoint.
+/// Returns the maximum number of connections that one leaseholder opens to an endpoint.
 pub(crate) fn connection_budget(connections: u32) -> u32 {
     let reserve = SUCCESSOR_RESERVE.min(connections.saturating_sub(1));
     connections - reserve
 }
 
-/// Returns the most connections that transactions may hold on an endpoint.
+/// Returns the maximum number of an endpoint's connections that transactions may hold.
 ///
 /// Statements outside of transactions keep as many as there are slots.
 pub(crate) fn pin_limit(connections: u32, slots: u32) -> u32 {
@@ -193,7 +201,7 @@
 
 /// Returns how many connections to open to an endpoint now.
 ///
-/// `ahead` says whether connections are opened ahead.
+/// `ahead` enables opening connections before a request waits for them.
 pub(crate) fn connections_to_open(
     record: &EndpointRecord,
     now: ClockTime,
@@ -201,7 +209,7 @@
     allowance: &ConnectionAllowance,
     ahead: bool,
 ) -> u32 {
-    if !record.takes_fresh_work() || now < record.connect_after {
+    if !record.accepts_unpinned() || now < record.connect_after {
         return 0;
     }
     let budget = connection_budget(record.state.connections);
@@ -216,56 +224,61 @@
             .saturating_sub(record.idle_connections() + record.opening);
         return wanted.min(budget.saturating_sub(held)).min(room);
     }
-    let singles = connections_for_singles(record, need, allowance);
-    // Connections in doubt are replaced ahead, but count towards the budget until they are closed.
-    let openers = match record.is_shared_by_accounts() {
+    let single_statements = connections_for_single_statements(record, need, allowance);
+    // Connections under validation are replaced ahead, but count towards the budget until they are
+    // closed.
+    let openers = match record.has_account_connections() {
         true => 0,
         false => need.openers,
     };
-    let doubted = allowance.replaced_ahead(record.doubted);
-    let wanted = record.pinned() + singles + SPARE_CONNECTIONS + openers + doubted;
+    let validating = allowance.replacements_ahead(record.validating);
+    let wanted = record.pinned() + single_statements + SPARE_CONNECTIONS + openers + validating;
     let missing = wanted.min(budget).saturating_sub(held);
     let at_once = OPENING_LIMIT.max(record.state.slots / OPENING_DIVISOR);
     let at_once = at_once.saturating_sub(record.opening);
     missing.min(at_once).min(room)
 }
 
-/// Returns how many of an endpoint's connections no load of the last seconds has needed.
+/// Returns how many of an endpoint's connections haven't been needed by the load of the last
+/// seconds.
 ///
-/// Left open, the connections of each peak would stay for good, with their memory and the questions
-/// whether they still answer.
+/// If they stayed open, the connections of each peak would remain for good, with the memory and the
+/// validation traffic that they cost.
 pub(crate) fn surplus_connections(
     record: &EndpointRecord,
     need: ConnectionNeed,
     allowance: &ConnectionAllowance,
 ) -> u32 {
-    let singles = connections_for_singles(record, need, allowance);
+    let single_statements = connections_for_single_statements(record, need, allowance);
     if allowance.scarce {
-        let used = record.pinned() + singles;
+        let used = record.pinned() + single_statements;
         return record.open.saturating_sub(used.max(1));
     }
-    let wanted = record.pin_peak.most() + singles + SPARE_CONNECTIONS + need.openers;
-    let left = match record.is_shared_by_accounts() {
+    let wanted = record.pin_peak.peak() + single_statements + SPARE_CONNECTIONS + need.openers;
+    let left = match record.has_account_connections() {
         true => 0,
-        false => allowance.left_for_each(),
+        false => allowance.surplus_kept_per_endpoint(),
     };
     record.open.saturating_sub(wanted + left)
 }
 
-fn connections_for_singles(
+fn connections_for_single_statements(
     record: &EndpointRecord,
     need: ConnectionNeed,
     allowance: &ConnectionAllowance,
 ) -> u32 {
-    // Opened ahead for one account, a connection is of no use to the next one that calls: each statement
-    // opens what it lacks.
-    if record.is_shared_by_accounts() {
-        return record.singles();
+    // A connection that was opened ahead for one account is of no use to the next account that
+    // calls, so each statement opens the connection that it lacks.
+    if record.has_account_connections() {
+        return record.single_statements();
     }
     if allowance.scarce {
-        return need.sent.min(record.singles() + need.waiting);
+        return need
+            .max_in_flight
+            .min(record.single_statements() + need.waiting);
     }
-    let peak = record.single_peak.most();
-    let sent = (peak * 2).max(record.singles() + need.waiting);
-    need.sent.min(sent.max(allowance.kept_for_each()))
+    let recent_peak = record.single_peak.peak();
+    let sent = (recent_peak * 2).max(record.single_statements() + need.waiting);
+    need.max_in_flight
+        .min(sent.max(allowance.min_open_per_endpoint()))
 }
--- a/crates/policy/src/customers.rs
+++ b/crates/policy/src/customers.rs
@@ -1,11 +1,11 @@
-//! The customers of a group: their terms, and what they hold.
+//! The customers of a group: contract terms, transactions, pacing and learned wait factors.
 
 use crate::ClockTime;
 use crate::CustomerTerms;
 use crate::RequestProfile;
-use crate::admission::WaitStretch;
-use crate::hot::HotMarks;
-use crate::queue::LANES;
+use crate::admission::WaitFactor;
+use crate::caller_pacing::PacingTable;
+use crate::queue::LANE_COUNT;
 use crate::queue::LaneKind;
 use crate::queue::WaitingRequest;
 use ragwort_types::CustomerName;
@@ -13,24 +13,24 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// One customer.
+/// The state of one customer.
 #[derive(Clone, Debug)]
 pub(crate) struct CustomerRecord {
-    /// The contract's terms, the last ones if the contract is gone.
+    /// The contract's terms; the last ones if the contract was removed.
     pub(crate) terms: CustomerTerms,
     /// Whether the contract is in force.
     pub(crate) active: bool,
-    /// Transactions that hold a connection or wait to be opened.
+    /// The number of transactions that hold a connection or wait to be opened.
     pub(crate) pins: u32,
     /// The slot time used since the start, in microseconds.
     pub(crate) slot_micros: u64,
-    sessions: HotMarks,
-    keys: HotMarks,
-    stretches: [WaitStretch; LANES * 2],
+    sessions: PacingTable,
+    keys: PacingTable,
+    wait_factors: [WaitFactor; LANE_COUNT * 2],
 }
 
 impl CustomerRecord {
-    /// Notes a request of the customer and returns by how much it is to be delayed.
+    /// Records a request of the customer and returns by how much caller pacing delays it.
     pub(crate) fn note_request(
         &mut self,
         now: ClockTime,
@@ -38,8 +38,8 @@
         cost: Duration,
         slots: u32,
     ) -> Duration {
-        // A session's long jobs have a mark of their own: one report costs as much as fifty lookups,
-        // and the lookups that follow it would be taken for a flood.
+        // A session's long jobs are paced separately: one report costs as much as fifty lookups,
+        // and the lookups that follow it would be treated as a flood.
         let session = match profile.length {
             LengthClass::Short => profile.session,
             LengthClass::Long => !profile.session,
@@ -51,24 +51,28 @@
         session.max(self.keys.note(now, key, cost, slots))
     }
 
-    /// Returns how far the waits of requests like this one are stretched.
-    pub(crate) fn stretch(&self, request: &WaitingRequest) -> &WaitStretch {
-        &self.stretches[stretch_index(request)]
+    /// Returns the wait factor for requests like this one.
+    pub(crate) fn wait_factor(&self, request: &WaitingRequest) -> &WaitFactor {
+        &self.wait_factors[wait_factor_index(request)]
     }
 
-    /// Returns how far the waits of requests like this one are stretched, for learning.
-    pub(crate) fn stretch_mut(&mut self, request: &WaitingRequest) -> &mut WaitStretch {
-        &mut self.stretches[stretch_index(request)]
+    /// Returns the wait factor for requests like this one, mutably.
+    pub(crate) fn wait_factor_mut(&mut self, request: &WaitingRequest) -> &mut WaitFactor {
+        &mut self.wait_factors[wait_factor_index(request)]
     }
 }
 
-/// Returns the index of a request's sort: its lane, and whether it was delayed.
-fn stretch_index(request: &WaitingRequest) -> usize {
-    let delayed = if request.delay.is_zero() { 0 } else { LANES };
+/// Returns the index of a request's class: its lane, and whether pacing delayed it.
+fn wait_factor_index(request: &WaitingRequest) -> usize {
+    let delayed = if request.delay.is_zero() {
+        0
+    } else {
+        LANE_COUNT
+    };
     request.lane.index() + delayed
 }
 
-/// All customers that a group has seen; an index stays the same for good.
+/// All customers that a group has seen. An index never changes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CustomerTable {
     by_name: BTreeMap<CustomerName, usize>,
@@ -86,7 +90,7 @@
         }
     }
 
-    /// Returns how many indices there are.
+    /// Returns the number of customers, which is also the upper bound of all indices.
     pub(crate) fn len(&self) -> usize {
         self.records.len()
     }
@@ -102,17 +106,18 @@
         &self.records[index]
     }
 
-    /// Returns a customer for changing.
+    /// Returns a customer, mutably.
     pub(crate) fn get_mut(&mut self, index: usize) -> &mut CustomerRecord {
         &mut self.records[index]
     }
 
-    /// Returns all customers by index.
+    /// Returns all customers, by index.
     pub(crate) fn records(&self) -> &[CustomerRecord] {
         &self.records
     }
 
-    /// Counts one more transaction of a customer, unless it has as many as it may.
+    /// Counts one more transaction of a customer; returns false if it has as many as its contract
+    /// allows.
     pub(crate) fn reserve_pin(&mut self, index: usize) -> bool {
         let record = &mut self.records[index];
         if record.pins >= record.terms.connection_limit {
@@ -142,10 +147,10 @@
             active: true,
             pins: 0,
             slot_micros: 0,
-            sessions: HotMarks::default(),
-            keys: HotMarks::default(),
-            stretches: std::array::from_fn(|index| {
-                WaitStretch::new(LaneKind::from_index(index % LANES))
+            sessions: PacingTable::default(),
+            keys: PacingTable::default(),
+            wait_factors: std::array::from_fn(|index| {
+                WaitFactor::new(LaneKind::from_index(index % LANE_COUNT))
             }),
         });
     }
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The group's endpoints: their slots, connections, positions and running requests.
+//! State of a group's endpoints: slots, connections, positions and running requests.
 
 use crate::ClockTime;
 use crate::EndpointRole;
@@ -6,58 +6,58 @@
 use crate::RequestTicket;
 use crate::connections::RecentPeak;
 use crate::health::EndpointHealth;
-use crate::health::OVERDUE_FACTOR;
+use crate::health::STALL_FACTOR;
 use ragwort_types::InstanceName;
 use ragwort_types::LogPosition;
 use smallvec::SmallVec;
 use std::time::Duration;
 
-/// What is assumed at least of a run that goes on: a slot that is held never looks free.
-pub(crate) const LEAST_REST: Duration = Duration::from_micros(100);
+/// The assumed minimum remaining time of a run, so that a held slot never looks free.
+pub(crate) const MIN_REMAINING_RUN: Duration = Duration::from_micros(100);
 
-/// A request in a slot.
+/// A request that was sent to an endpoint and hasn't ended.
 #[derive(Clone, Debug)]
 pub(crate) struct RunningRequest {
-    /// Its name.
+    /// The ticket of the request.
     pub(crate) ticket: RequestTicket,
-    /// When it was dispatched.
+    /// The time of the dispatch.
     pub(crate) started: ClockTime,
     /// How long it was expected to hold the slot.
     pub(crate) expected: Duration,
-    /// How many requests must end before it gets a slot, if it was sent ahead.
-    pub(crate) behind: u32,
+    /// The number of requests that must end before it gets a slot, if it was sent ahead.
+    pub(crate) predecessors: u32,
     /// When it got a slot, if it was sent ahead.
     pub(crate) slot_since: ClockTime,
     /// Whether it counts as long.
     pub(crate) long: bool,
-    /// The key on which it writes, made distinct between customers.
+    /// The key on which it writes, hashed with its customer's index.
     pub(crate) write_key: Option<u64>,
     /// Whether it runs on a connection that a transaction holds.
     pub(crate) pinned: bool,
 }
 
 impl RunningRequest {
-    /// Returns how long it has run at the endpoint, without the way there and back.
+    /// Returns how long it has run at the endpoint, without the round trip and the wait for a slot.
     pub(crate) fn run_until(&self, now: ClockTime, round_trip: Duration) -> Duration {
         let whole = now.since(self.started).saturating_sub(round_trip);
         whole.min(now.since(self.slot_since))
     }
 
-    /// Says whether it has lasted longer than expected.
-    pub(crate) fn is_overdue(&self, now: ClockTime) -> bool {
+    /// Returns whether it has lasted longer than expected.
+    pub(crate) fn exceeds_estimate(&self, now: ClockTime) -> bool {
         now.since(self.started) > self.expected
     }
 
-    /// Returns when the slot is expected to be free.
+    /// Returns when the slot is expected to become free.
     ///
-    /// A run that has outlasted its expectation is expected to go on for as long as it is over.
+    /// A run that has exceeded its estimate is expected to go on for as long as it has exceeded it.
     pub(crate) fn expected_end(&self, now: ClockTime) -> ClockTime {
         let elapsed = now.since(self.started);
         let rest = match self.expected.checked_sub(elapsed) {
             Some(rest) => rest,
             None => (elapsed - self.expected).max(self.expected / 4),
         };
-        now + rest.max(LEAST_REST)
+        now + rest.max(MIN_REMAINING_RUN)
     }
 }
 
@@ -68,50 +68,50 @@
     pub(crate) opener: RequestTicket,
     /// The index of the customer.
     pub(crate) customer: usize,
-    /// When the connection was taken.
+    /// When the transaction took the connection.
     pub(crate) since: ClockTime,
 }
 
-/// One endpoint and what the scheduler knows of it.
+/// An endpoint and the scheduler's state of it.
 #[derive(Clone, Debug)]
 pub(crate) struct EndpointRecord {
-    /// As the leaseholder reported it.
+    /// The state reported by the leaseholder.
     pub(crate) state: EndpointState,
-    /// The time of a message there and back.
+    /// The network round trip time.
     pub(crate) round_trip: Duration,
-    /// What it holds.
+    /// The log position that the instance has applied.
     pub(crate) position: LogPosition,
-    /// The bound of its data's age at `reported`.
+    /// The upper bound of its data's age at `reported`.
     pub(crate) age_bound: Option<Duration>,
     /// When position and age were reported.
     pub(crate) reported: ClockTime,
-    /// The requests in its slots.
+    /// The requests sent to it that haven't ended.
     pub(crate) running: SmallVec<[RunningRequest; 4]>,
-    /// Open connections.
+    /// The number of open connections.
     pub(crate) open: u32,
-    /// Open connections that have to prove that they still answer; they take no work meanwhile.
-    pub(crate) doubted: u32,
-    /// Connections being opened.
+    /// The number of open connections under validation, which take no requests.
+    pub(crate) validating: u32,
+    /// The number of connections being opened.
     pub(crate) opening: u32,
-    /// The accounts that have an idle connection there, by their digests; `None` where any connection
-    /// serves everybody.
+    /// The digests of the accounts that have an idle connection; `None` where connections aren't
+    /// bound to accounts.
     pub(crate) idle_accounts: Option<SmallVec<[u64; 8]>>,
-    /// The transactions that hold a connection, by the ticket of the request that opened them.
+    /// The transactions that hold a connection.
     pub(crate) pins: SmallVec<[ConnectionPin; 4]>,
-    /// The most statements outside of transactions that were sent at once lately.
+    /// The recent maximum of concurrent statements outside of transactions.
     pub(crate) single_peak: RecentPeak,
-    /// The most transactions that held a connection at once lately.
+    /// The recent maximum of transactions that held a connection at the same time.
     pub(crate) pin_peak: RecentPeak,
-    /// Urgent requests that went in a row while ordinary ones waited.
+    /// Consecutive urgent requests that were served while ordinary ones waited.
     pub(crate) urgent_run: u32,
-    /// Its speed.
+    /// The endpoint's speed compared with its peers.
     pub(crate) health: EndpointHealth,
-    /// No connection is opened before this moment, after one failed to open.
+    /// No connection is opened before this time, after one failed to open.
     pub(crate) connect_after: ClockTime,
-    /// Whether it was removed while requests were running on it.
+    /// Whether the endpoint was removed while requests were running on it.
     ///
-    /// If it were forgotten at once and came back, its slots would be taken for free while the
-    /// old requests still run there.
+    /// If it were dropped at once and came back, its slots would be taken for free while the old
+    /// requests still run there.
     pub(crate) removed: bool,
 }
 
@@ -125,7 +125,7 @@
             reported: ClockTime::default(),
             running: SmallVec::new(),
             open: 0,
-            doubted: 0,
+            validating: 0,
             opening: 0,
             idle_accounts: None,
             pins: SmallVec::new(),
@@ -138,53 +138,53 @@
         }
     }
 
-    /// Says whether a connection must be opened for a request of this account.
+    /// Returns whether a connection must be opened for a request of this account.
     pub(crate) fn lacks_connection(&self, account: Option<u64>) -> bool {
         let idle = self.idle_accounts.as_ref();
         account.is_some_and(|account| !idle.is_some_and(|idle| idle.contains(&account)))
     }
 
-    /// Says whether each connection belongs to one account.
-    pub(crate) fn is_shared_by_accounts(&self) -> bool {
+    /// Returns whether each connection is bound to one account.
+    pub(crate) fn has_account_connections(&self) -> bool {
         self.idle_accounts.is_some()
     }
 
-    /// Returns how many connections are neither pinned, nor in use, nor in doubt.
+    /// Returns the number of connections that are neither pinned, nor in use, nor under validation.
     pub(crate) fn idle_connections(&self) -> u32 {
-        let busy = self.singles() + self.pinned();
-        self.trusted_connections().saturating_sub(busy)
+        let busy = self.single_statements() + self.pinned();
+        self.usable_connections().saturating_sub(busy)
     }
 
-    /// Returns how many statements outside of transactions are sent.
-    pub(crate) fn singles(&self) -> u32 {
+    /// Returns the number of running statements outside of transactions.
+    pub(crate) fn single_statements(&self) -> u32 {
         let unpinned = self.running.iter().filter(|running| !running.pinned);
         u32::try_from(unpinned.count()).unwrap_or(u32::MAX)
     }
 
-    /// Returns how many transactions hold a connection.
+    /// Returns the number of transactions that hold a connection.
     pub(crate) fn pinned(&self) -> u32 {
         u32::try_from(self.pins.len()).unwrap_or(u32::MAX)
     }
 
-    /// Notes how many connections are in use now.
+    /// Records how many connections are in use now.
     pub(crate) fn note_use(&mut self, now: ClockTime) {
-        let (singles, pinned) = (self.singles(), self.pinned());
-        self.single_peak.note(now, singles);
+        let (single_statements, pinned) = (self.single_statements(), self.pinned());
+        self.single_peak.note(now, single_statements);
         self.pin_peak.note(now, pinned);
     }
 
-    /// Returns how many open connections are not in doubt.
-    pub(crate) fn trusted_connections(&self) -> u32 {
-        self.open.saturating_sub(self.doubted)
+    /// Returns the number of open connections that aren't under validation.
+    pub(crate) fn usable_connections(&self) -> u32 {
+        self.open.saturating_sub(self.validating)
     }
 
-    /// Returns how many slots are free.
+    /// Returns the number of free slots.
     pub(crate) fn free_slots(&self) -> u32 {
         let busy = u32::try_from(self.running.len()).unwrap_or(u32::MAX);
         self.state.slots.saturating_sub(busy)
     }
 
-    /// Takes a request out of its slot, which goes to the next one that was sent ahead.
+    /// Removes a request that has ended; its slot passes to the next request that was sent ahead.
     pub(crate) fn end_run(
         &mut self,
         now: ClockTime,
@@ -194,37 +194,41 @@
         let place = running.position(|running| running.ticket == ticket)?;
         let ended = self.running.remove(place);
         for running in &mut self.running {
-            if running.behind > 0 {
-                running.behind -= 1;
+            if running.predecessors > 0 {
+                running.predecessors -= 1;
                 running.slot_since = now;
             }
         }
         Some(ended)
     }
 
-    /// Says whether it takes requests that no transaction ties to it.
-    pub(crate) fn takes_fresh_work(&self) -> bool {
+    /// Returns whether the endpoint accepts requests outside of transactions.
+    pub(crate) fn accepts_unpinned(&self) -> bool {
         !self.state.leaving && self.state.role != EndpointRole::Unusable
     }
 
-    /// Returns the bound of its data's age, if one is known.
+    /// Returns the upper bound of its data's age, if one is known.
     pub(crate) fn age(&self, now: ClockTime) -> Option<Duration> {
         self.age_bound.map(|bound| bound + now.since(self.reported))
     }
 
-    /// Returns when the oldest running request started, if all slots are held for too long.
-    pub(crate) fn held_since(&self, now: ClockTime) -> Option<ClockTime> {
-        self.held_ratio(now)
-            .filter(|ratio| *ratio >= OVERDUE_FACTOR)?;
+    /// Returns when the oldest running request started, if all slots have been held for too long.
+    pub(crate) fn stalled_since(&self, now: ClockTime) -> Option<ClockTime> {
+        self.stall_ratio(now)
+            .filter(|ratio| *ratio >= STALL_FACTOR)?;
         self.running.iter().map(|running| running.started).min()
     }
 
-    /// Returns the least ratio of elapsed to expected run over all slots, if all are held.
-    pub(crate) fn held_ratio(&self, now: ClockTime) -> Option<f64> {
+    /// Returns the lowest ratio of elapsed to expected run time over all slots, if all are held and
+    /// none by a long job.
+    pub(crate) fn stall_ratio(&self, now: ClockTime) -> Option<f64> {
         if self.free_slots() > 0 || self.running.iter().any(|running| running.long) {
             return None;
         }
-        let in_slots = self.running.iter().filter(|running| running.behind == 0);
+        let in_slots = self
+            .running
+            .iter()
+            .filter(|running| running.predecessors == 0);
         let ratios = in_slots.map(|running| {
             let expected = running.expected.as_secs_f64().max(1e-6);
             now.since(running.started).as_secs_f64() / expected
@@ -245,7 +249,7 @@
         &self.records
     }
 
-    /// Returns all endpoints for changing.
+    /// Returns all endpoints, mutably.
     pub(crate) fn records_mut(&mut self) -> &mut [EndpointRecord] {
         &mut self.records
     }
@@ -269,18 +273,19 @@
         if let Some(record) = self.get_mut(instance) {
             record.state.role = EndpointRole::Unusable;
             record.removed = true;
-            // What it held may be gone when it comes back, so that a read would miss its write.
+            // The instance may have lost data when it comes back, so its old position could let a
+            // read miss its session's write.
             record.position = LogPosition::default();
             record.age_bound = None;
             record.pins.clear();
             record.open = 0;
-            record.doubted = 0;
+            record.validating = 0;
             record.opening = 0;
         }
         self.forget_removed();
     }
 
-    /// Forgets removed endpoints on which nothing runs any more.
+    /// Drops removed endpoints on which nothing runs any more.
     pub(crate) fn forget_removed(&mut self) {
         self.records
             .retain(|record| !record.removed || !record.running.is_empty());
@@ -298,7 +303,7 @@
             .map(|index| &self.records[index])
     }
 
-    /// Returns an endpoint for changing.
+    /// Returns an endpoint, mutably.
     pub(crate) fn get_mut(&mut self, instance: &InstanceName) -> Option<&mut EndpointRecord> {
         match self.position_of(instance) {
             Ok(index) => Some(&mut self.records[index]),
@@ -306,18 +311,18 @@
         }
     }
 
-    /// Returns the endpoint on which a transaction holds a connection.
+    /// Returns the index of the endpoint on which a transaction holds a connection.
     pub(crate) fn index_of_pin(&self, opener: RequestTicket) -> Option<usize> {
         self.records
             .iter()
             .position(|record| record.pins.iter().any(|pin| pin.opener == opener))
     }
 
-    /// Says whether some endpoint serves as primary.
+    /// Returns whether an endpoint accepts requests as primary.
     pub(crate) fn has_primary(&self) -> bool {
         self.records
             .iter()
-            .any(|record| record.state.role == EndpointRole::Primary && record.takes_fresh_work())
+            .any(|record| record.state.role == EndpointRole::Primary && record.accepts_unpinned())
     }
 
     fn position_of(&self, instance: &InstanceName) -> Result<usize, usize> {
--- a/crates/policy/src/estimate.rs
+++ b/crates/policy/src/estimate.rs
@@ -1,20 +1,20 @@
-//! How long a request will run: its kind predicts, a running estimate corrects.
+//! Run time estimation for each kind of requests.
 //!
-//! # The load it answers
+//! # Problem
 //!
 //! Requests of very different length meet in one queue: lookups of milliseconds, reports of half a
-//! second. Every other module asks this one how long a request will hold a slot.
+//! second. Every other module needs to know how long a request will hold a slot. With the
+//! contract's declaration alone, a kind that a contract calls short and that runs for half a second would
+//! be let into every slot, and whether a request can meet its deadline would be known only after
+//! the deadline.
 //!
-//! # Without it
+//! # Approach
 //!
-//! A kind that a contract calls short and that runs for half a second would be let into every
-//! slot, and a deadline could be judged only after it had passed.
-//!
-//! # Grounds for its figures
-//!
-//! The gains of one eighth and one quarter are those of TCP's round-trip estimator: they follow a
-//! lasting change within about ten requests and ignore a single outlier. The limit between short
-//! and long lies at 100 ms: ten times the longest ordinary statement of the two users.
+//! The contract gives the initial estimate; exponentially weighted moving averages of the run time
+//! and of its mean deviation correct it. Their gains of one eighth and one quarter are those of
+//! TCP's round-trip time estimator: they follow a lasting change within about ten requests and
+//! ignore a single outlier. A kind counts as long from 100 ms on, ten times the longest ordinary
+//! statement of the two users.
 
 use crate::time::to_micros;
 use ragwort_types::CustomerName;
@@ -23,28 +23,28 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Runs of this length or longer are long, whatever the contract says.
+/// A kind or run of this length or longer counts as long, whatever the contract says.
 pub(crate) const LONG_THRESHOLD: Duration = Duration::from_millis(100);
 
-/// A kind that was long is short again below this.
+/// A long kind counts as short again below this.
 const SHORT_THRESHOLD: Duration = Duration::from_millis(50);
 
-/// What is assumed of a short kind before its first run, in microseconds.
+/// The initial estimate of a short kind, in microseconds.
 const SHORT_PRIOR_MICROS: i64 = 8_000;
 
-/// What is assumed of a long kind before its first run, in microseconds.
+/// The initial estimate of a long kind, in microseconds.
 const LONG_PRIOR_MICROS: i64 = 350_000;
 
-/// The mean moves by one part in this many towards each new sample.
+/// The mean moves towards each sample by the error divided by this.
 const MEAN_GAIN: i64 = 8;
 
-/// The deviation moves by one part in this many towards each new sample.
+/// The deviation moves towards each absolute error by the difference divided by this.
 const DEVIATION_GAIN: i64 = 4;
 
-/// After this many runs the prior has no weight worth mentioning.
+/// The number of runs after which the initial estimate has negligible weight.
 const MATURE_SAMPLES: u32 = 16;
 
-/// The running estimate of one customer's kind.
+/// The run time estimate of one customer's kind.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct KindEstimate {
     mean_micros: i64,
@@ -73,21 +73,21 @@
     }
 
     /// Returns the expected time in a slot of an endpoint that takes `percent` of the usual time.
-    pub(crate) fn expected_times(&self, percent: u64) -> Duration {
+    pub(crate) fn expected_scaled(&self, percent: u64) -> Duration {
         Duration::from_micros(self.mean_micros.max(1).unsigned_abs() * percent / 100)
     }
 
-    /// Returns the mean distance of a run from the expected time.
+    /// Returns the mean absolute deviation of a run from the expected time.
     pub(crate) fn deviation(&self) -> Duration {
         Duration::from_micros(self.deviation_micros.unsigned_abs())
     }
 
-    /// Says whether enough runs were seen to compare endpoints by them.
+    /// Returns whether the estimate is based on enough runs to compare endpoints by it.
     pub(crate) fn is_mature(&self) -> bool {
         self.samples >= MATURE_SAMPLES
     }
 
-    /// Says whether the kind is treated as long.
+    /// Returns whether the kind counts as long.
     pub(crate) fn is_long(&self) -> bool {
         self.long
     }
@@ -118,7 +118,7 @@
 }
 
 impl EstimateTable {
-    /// Returns the index of a kind, which stays the same for good.
+    /// Returns the index of a kind, adding it if it is new. An index never changes.
     pub(crate) fn index_of(
         &mut self,
         customer: &CustomerName,
@@ -146,7 +146,7 @@
         names.map(|((customer, kind), index)| (customer, kind, *index))
     }
 
-    /// Corrects the estimate of a kind by one run.
+    /// Updates the estimate of a kind with the time of one run.
     pub(crate) fn learn(&mut self, index: usize, sample: Duration) {
         self.estimates[index].learn(sample);
     }
--- a/crates/policy/src/board.rs
+++ b/crates/policy/src/forecast.rs
@@ -1,77 +1,77 @@
-//! The slots of all endpoints as a plan sees them: when each is expected to be free.
+//! Forecast of each endpoint's slots and connections, on which a plan is simulated.
 
 use crate::ClockTime;
 use crate::EndpointRole;
 use crate::ExcessRule;
 use crate::connections::pin_limit;
 use crate::endpoints::EndpointRecord;
-use crate::endpoints::LEAST_REST;
+use crate::endpoints::MIN_REMAINING_RUN;
 use crate::endpoints::RunningRequest;
 use crate::health::HealthLevel;
 use crate::long_jobs::may_start_long;
 use smallvec::SmallVec;
 use std::time::Duration;
 
-/// One slot.
+/// The forecast of one slot.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct SlotBoard {
-    /// When the slot is expected to be free.
+pub(crate) struct SlotForecast {
+    /// When the slot is expected to become free.
     pub(crate) free_at: ClockTime,
-    /// Whether a long job holds it until then.
+    /// Whether a long job holds the slot until then.
     pub(crate) long: bool,
 }
 
-/// What a board depends on besides the endpoint.
+/// Settings that affect a forecast.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct BoardSwitches {
-    /// Whether slow endpoints lose work.
+pub(crate) struct ForecastOptions {
+    /// Whether slow endpoints get less work.
     pub(crate) health: bool,
-    /// Whether statements may be sent ahead.
+    /// What endpoints do with statements beyond their slots.
     pub(crate) excess: ExcessRule,
 }
 
-/// One endpoint's slots and connections.
+/// The forecast of one endpoint's slots and connections.
 #[derive(Clone, Debug)]
-pub(crate) struct InstanceBoard {
+pub(crate) struct InstanceForecast {
     /// The slots.
-    pub(crate) slots: SmallVec<[SlotBoard; 4]>,
+    pub(crate) slots: SmallVec<[SlotForecast; 4]>,
     /// Open connections that no transaction holds.
     pub(crate) unpinned: u32,
-    /// When each run on one of these is expected to give it back.
+    /// The expected end of each run on one of these connections.
     uses: SmallVec<[ClockTime; 4]>,
     /// How many more transactions may take a connection now.
     pub(crate) pins_left: u32,
     /// When further connections are expected to be open.
     pub(crate) connected_at: ClockTime,
-    /// When a transaction may take a connection.
+    /// When a transaction is expected to be able to take a connection, if none can now.
     pub(crate) pin_at: ClockTime,
-    /// How many slots may be used for work that could go elsewhere.
+    /// How many slots may be used for work that other instances could serve.
     pub(crate) usable: u32,
     /// Whether a trial of this endpoint may start.
     pub(crate) trial: bool,
-    /// Requests on pinned connections that went in a row while others waited.
+    /// Consecutive statements of open transactions that were served while other requests waited.
     pub(crate) pinned_run: u32,
-    /// Urgent requests that went in a row while others waited.
+    /// Consecutive urgent requests that were served while ordinary ones waited.
     pub(crate) urgent_run: u32,
-    /// How long runs take here, in percent of what they take elsewhere.
+    /// The expected run time on this endpoint, in percent of that on its peers.
     pub(crate) slowdown_percent: u64,
 }
 
-impl InstanceBoard {
-    /// Reads an endpoint's present state.
+impl InstanceForecast {
+    /// Creates the forecast of an endpoint from its present state.
     pub(crate) fn from_record(
         record: &EndpointRecord,
         now: ClockTime,
         connect_time: Duration,
         pin_hold: Duration,
-        switches: BoardSwitches,
+        switches: ForecastOptions,
     ) -> Self {
-        let BoardSwitches { health, excess } = switches;
+        let ForecastOptions { health, excess } = switches;
         let slots = usize::try_from(record.state.slots).unwrap_or(0);
         let pinned = u32::try_from(record.pins.len()).unwrap_or(u32::MAX);
-        let mut board = Self {
+        let mut forecast = Self {
             slots: SmallVec::new(),
-            unpinned: record.trusted_connections().saturating_sub(pinned),
+            unpinned: record.usable_connections().saturating_sub(pinned),
             uses: SmallVec::new(),
             pins_left: pin_limit(record.state.connections, record.state.slots)
                 .saturating_sub(pinned),
@@ -84,33 +84,33 @@
             slowdown_percent: 100,
         };
         if health {
-            board.usable = record.health.usable_slots(record.state.slots);
-            board.trial = record.health.trial_due(now);
-            board.slowdown_percent = (record.health.slowdown() * 100.0) as u64;
+            forecast.usable = record.health.usable_slots(record.state.slots);
+            forecast.trial = record.health.trial_due(now);
+            forecast.slowdown_percent = (record.health.slowdown() * 100.0) as u64;
         }
         if record.state.role == EndpointRole::Unusable {
-            return board;
+            return forecast;
         }
         for running in &record.running {
-            let slot = SlotBoard {
-                free_at: open_again(record, running, now, excess),
+            let slot = SlotForecast {
+                free_at: next_send_at(record, running, now, excess),
                 long: running.long,
             };
-            board.hold(slot, slots);
+            forecast.add_run(slot, slots);
             if !running.pinned {
-                board.uses.push(running.expected_end(now));
+                forecast.uses.push(running.expected_end(now));
             }
         }
         if record.running.len() >= slots * 2 {
-            board.keep_closed(now);
+            forecast.hold_all_slots(now);
         }
-        while board.slots.len() < slots {
-            board.slots.push(SlotBoard {
+        while forecast.slots.len() < slots {
+            forecast.slots.push(SlotForecast {
                 free_at: now,
                 long: false,
             });
         }
-        board
+        forecast
     }
 
     /// Returns the index of a slot that is free at a moment.
@@ -118,25 +118,25 @@
         self.slots.iter().position(|slot| slot.free_at <= at)
     }
 
-    /// Returns how many slots are held at a moment.
+    /// Returns the number of slots that are held at a moment.
     pub(crate) fn held(&self, at: ClockTime) -> u32 {
         let held = self.slots.iter().filter(|slot| slot.free_at > at).count();
         u32::try_from(held).unwrap_or(u32::MAX)
     }
 
-    /// Says whether a connection is idle at a moment.
+    /// Returns whether a connection is idle at a moment.
     pub(crate) fn is_connected(&self, at: ClockTime) -> bool {
         let used = self.uses.iter().filter(|end| **end > at).count();
         let used = u32::try_from(used).unwrap_or(u32::MAX);
         self.unpinned > used || at >= self.connected_at
     }
 
-    /// Says whether a transaction may take a connection at a moment.
+    /// Returns whether a transaction may take a connection at a moment.
     pub(crate) fn takes_pin(&self, at: ClockTime) -> bool {
         self.pins_left > 0 || at >= self.pin_at
     }
 
-    /// Returns how many long jobs run at a moment.
+    /// Returns the number of long jobs that run at a moment.
     pub(crate) fn long_running(&self, at: ClockTime) -> u32 {
         let long = self
             .slots
@@ -145,14 +145,14 @@
         u32::try_from(long.count()).unwrap_or(u32::MAX)
     }
 
-    /// Says whether a long job may start at a moment.
+    /// Returns whether a long job may start at a moment.
     pub(crate) fn takes_long(&self, at: ClockTime, elsewhere_free: bool) -> bool {
         let slots = u32::try_from(self.slots.len()).unwrap_or(u32::MAX);
         may_start_long(slots, self.long_running(at), elsewhere_free)
     }
 
-    /// Adds a running request; one that was sent ahead follows in the slot that is free first.
-    fn hold(&mut self, run: SlotBoard, slots: usize) {
+    /// Adds a running request. One that was sent ahead extends the slot that becomes free first.
+    fn add_run(&mut self, run: SlotForecast, slots: usize) {
         if self.slots.len() < slots {
             self.slots.push(run);
             return;
@@ -163,15 +163,16 @@
         }
     }
 
-    /// Opens no slot at present: one statement for each slot has been sent ahead already.
-    fn keep_closed(&mut self, now: ClockTime) {
+    /// Marks all slots as held at present, because one statement has been sent ahead for each
+    /// already.
+    fn hold_all_slots(&mut self, now: ClockTime) {
         for slot in &mut self.slots {
-            slot.free_at = slot.free_at.max(now + LEAST_REST);
+            slot.free_at = slot.free_at.max(now + MIN_REMAINING_RUN);
         }
     }
 
     /// Takes a slot that is free at a moment.
-    pub(crate) fn take(&mut self, at: ClockTime, run: SlotBoard) {
+    pub(crate) fn take(&mut self, at: ClockTime, run: SlotForecast) {
         if let Some(index) = self.free_slot(at) {
             self.slots[index] = run;
         }
@@ -194,22 +195,22 @@
 
 /// Returns when the next statement may be sent for the slot of a running request.
 ///
-/// A statement that is sent ahead waits at the endpoint if the run before it takes longer, so
-/// nothing is sent ahead for the slot of a long job or of one that is overdue already.
-fn open_again(
+/// A statement that is sent ahead waits at the endpoint if the run before it takes longer. Nothing
+/// is therefore sent ahead for the slot of a long job, or of a run that has exceeded its estimate.
+fn next_send_at(
     record: &EndpointRecord,
     running: &RunningRequest,
     now: ClockTime,
     excess: ExcessRule,
 ) -> ClockTime {
     let end = running.expected_end(now);
-    if excess == ExcessRule::Forbidden || running.long || running.is_overdue(now) {
+    if excess == ExcessRule::Forbidden || running.long || running.exceeds_estimate(now) {
         return end;
     }
     end.before(record.round_trip)
 }
 
-/// Returns when a transaction is expected to get a connection, if all are held now.
+/// Returns when a transaction is expected to get a connection if all of them are held now.
 fn next_pin(record: &EndpointRecord, now: ClockTime, pin_hold: Duration) -> ClockTime {
     let pinned = u32::try_from(record.pins.len()).unwrap_or(u32::MAX);
     let oldest = record.pins.iter().map(|pin| pin.since).min();
@@ -217,7 +218,7 @@
     end.max(now + pin_hold / pinned.max(1))
 }
 
-/// Says whether an endpoint of this health is given ordinary work.
-pub(crate) fn is_standing(record: &EndpointRecord) -> bool {
-    record.takes_fresh_work() && record.health.level() != HealthLevel::Cut
+/// Returns whether an endpoint gets regular work: it accepts requests and isn't cut off.
+pub(crate) fn is_in_rotation(record: &EndpointRecord) -> bool {
+    record.accepts_unpinned() && record.health.level() != HealthLevel::Cut
 }
--- a/crates/policy/src/gateway_limit.rs
+++ b/crates/policy/src/gateway_limit.rs
@@ -1,24 +1,22 @@
-//! Limits at a gateway on the requests that it has handed to leaseholders.
+//! Limits on the requests in flight from a gateway to leaseholders.
 //!
-//! # The load it answers
+//! # Problem
 //!
-//! One group's leaseholder is slow or gone, and its callers keep sending.
+//! One group's leaseholder is slow or gone, and its callers keep sending. Without limits, the
+//! requests for that group pile up in the gateway's memory until it can't serve the others: the
+//! failure of one leaseholder affects every customer.
 //!
-//! # Without it
+//! # Approach
 //!
-//! The requests for that group pile up in the gateway's memory until it can't serve the others: one
-//! leaseholder's trouble becomes every customer's.
-//!
-//! # Grounds for its figures
-//!
-//! A group of three endpoints with two slots each answers about 750 short statements a second.
-//! 2,048 in flight are more than two seconds of that: beyond it, no usual deadline can be met.
-//! A customer may have in flight what its contract lets it have waiting in a group, plus the slots
-//! and connections that it could use at the same time. A refusal here comes from this process
-//! alone, so it tells the caller to come back after a fixed time with a spread.
+//! A bulkhead for each group, and within it for each customer. A group of three endpoints with two
+//! slots each answers about 750 short statements a second. 2,048 in flight are more than two
+//! seconds of that: beyond it, no usual deadline can be met. A customer may have in flight what its
+//! contract allows to wait in a group, plus the slots and connections that it could use at the same
+//! time. The gateway doesn't know the group's backlog, so it tells refused callers to retry after a
+//! fixed time with a spread.
 
 use crate::CustomerTerms;
-use crate::admission::urgent_room;
+use crate::admission::urgent_queue_limit;
 use ragwort_types::CustomerName;
 use ragwort_types::GroupName;
 use ragwort_types::Refusal;
@@ -26,22 +24,23 @@
 use ragwort_types::UrgencyClass;
 use std::collections::BTreeMap;
 
-/// The most requests in flight from one gateway to one group.
-pub const GROUP_FLIGHT_LIMIT: u32 = 2_048;
+/// Maximum number of requests in flight from one gateway to one group.
+pub const GROUP_IN_FLIGHT_LIMIT: u32 = 2_048;
 
-/// The part of [`GROUP_FLIGHT_LIMIT`] that only urgent requests may use.
+/// The part of [`GROUP_IN_FLIGHT_LIMIT`] that is reserved for urgent requests.
 const URGENT_RESERVE: u32 = 256;
 
-/// Slots that a customer may hold besides its queue, in a group of three endpoints with two each.
+/// Number of slots that a customer may hold besides its queue, in a group of three endpoints with
+/// two each.
 const SLOT_ALLOWANCE: u32 = 6;
 
-/// The time after which a refused caller may come back, in milliseconds.
-const RETURN_MILLIS: u64 = 100;
+/// The minimum time after which a refused caller is told to retry, in milliseconds.
+const RETRY_AFTER_MILLIS: u64 = 100;
 
-/// The spread of that time, in milliseconds.
-const RETURN_SPREAD_MILLIS: u64 = 200;
+/// The spread added to that time, in milliseconds.
+const RETRY_AFTER_SPREAD_MILLIS: u64 = 200;
 
-/// The requests in flight from one gateway.
+/// Counts and limits the requests in flight from one gateway.
 ///
 /// # Examples
 ///
@@ -79,12 +78,12 @@
 }
 
 impl FlightLimiter {
-    /// Takes a request in, which [`release`](Self::release) must follow once it is answered.
+    /// Admits a request; [`release`](Self::release) must follow once it is answered.
     ///
     /// # Errors
     ///
-    /// Returns a refusal with [`RefusalCause::Limit`] if the group or the customer has as many
-    /// requests in flight as it may.
+    /// Returns a refusal with [`RefusalCause::Limit`] if the group or the customer has reached its
+    /// limit.
     pub fn admit(
         &mut self,
         group: &GroupName,
@@ -93,9 +92,9 @@
     ) -> Result<(), Refusal> {
         let urgent = urgency == UrgencyClass::Urgent;
         let group_limit = if urgent {
-            GROUP_FLIGHT_LIMIT
+            GROUP_IN_FLIGHT_LIMIT
         } else {
-            GROUP_FLIGHT_LIMIT - URGENT_RESERVE
+            GROUP_IN_FLIGHT_LIMIT - URGENT_RESERVE
         };
         let flight = self.groups.entry(group.clone()).or_default();
         let present = flight.customers.get(&terms.customer).copied().unwrap_or(0);
@@ -103,7 +102,7 @@
             self.refused += 1;
             return Err(Refusal {
                 cause: RefusalCause::Limit,
-                come_back_after_ms: RETURN_MILLIS + spread_millis(self.refused),
+                come_back_after_ms: RETRY_AFTER_MILLIS + spread_millis(self.refused),
             });
         }
         flight.total += 1;
@@ -111,7 +110,7 @@
         Ok(())
     }
 
-    /// Lets a request go that was taken in.
+    /// Releases a request that was admitted.
     pub fn release(&mut self, group: &GroupName, customer: &CustomerName) {
         let Some(flight) = self.groups.get_mut(group) else {
             return;
@@ -129,26 +128,26 @@
         }
     }
 
-    /// Returns how many requests are in flight to a group.
+    /// Returns the number of requests in flight to a group.
     pub fn in_flight(&self, group: &GroupName) -> u32 {
         self.groups.get(group).map_or(0, |flight| flight.total)
     }
 }
 
-/// Returns how many requests a customer may have in flight to one group.
+/// Returns the maximum number of requests that a customer may have in flight to one group.
 fn flight_limit(terms: &CustomerTerms, urgent: bool) -> u32 {
     let ordinary = terms
         .queue_limit
         .saturating_add(terms.connection_limit)
         .saturating_add(SLOT_ALLOWANCE);
     if urgent {
-        return ordinary.saturating_add(urgent_room(terms.queue_limit));
+        return ordinary.saturating_add(urgent_queue_limit(terms.queue_limit));
     }
     ordinary
 }
 
-/// Returns a different part of the spread for each of a run of refusals.
+/// Returns a different offset within the spread for each of consecutive refusals.
 fn spread_millis(count: u64) -> u64 {
-    // The step and the spread have no common divisor, so that the whole spread is used.
-    count * 83 % RETURN_SPREAD_MILLIS
+    // The step 83 and the spread are coprime, so the offsets cover the whole spread.
+    count * 83 % RETRY_AFTER_SPREAD_MILLIS
 }
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -1,25 +1,29 @@
-//! Endpoint health: an instance is slow only in comparison with its peers.
+//! Detection of slow endpoints by comparison with their peers.
 //!
-//! # The load it answers
+//! # Problem
 //!
 //! One endpoint of three answers five or ten times slower than the others, or holds its slots and
-//! answers nothing, while it still counts as alive.
+//! answers nothing, while it still counts as alive. Every third read would wait for it. A policy
+//! that counts connections notices that the endpoint's slots are busy for longer, but each read
+//! that lands there is late.
 //!
-//! # Without it
+//! # Approach
 //!
-//! Every third read waits for the slow endpoint. Its slots are busy for longer, so that a policy
-//! which counts connections notices, but each read that lands there is late.
+//! This is outlier detection with three levels and half-open trials. Each run is expressed as a
+//! ratio to the estimate for its kind, so that a mix of short and long kinds gives comparable
+//! values. The median of the last five ratios is compared with that of the best peer: at
+//! [`HALF_FACTOR`] the endpoint loses half of its slots, at [`CUT_FACTOR`] all of them. Three slow
+//! answers in a row are needed, which two slots at eight milliseconds give within a tenth of a
+//! second. An endpoint whose slots are all held for four times the expected run counts as slow
+//! without any answer.
 //!
-//! # Grounds for its figures
+//! Because the best peer is the reference, the best endpoint is never cut off, and a slowness that
+//! all share cuts off none. A peer's runs count only if they started no earlier than the slow ones:
+//! at low load its last fast answers may be from before the slowness began.
 //!
-//! Each run is compared with what its kind takes elsewhere, so that a mix of short and long kinds
-//! gives the same ratio. The middle of the last five ratios decides: three slow answers in a row
-//! are needed, which two slots at eight milliseconds give within a tenth of a second. An endpoint
-//! whose slots are all held for four times the expected run is slow without any answer.
-//! The comparison is with the best peer, so that the best is never cut off and a slowness that all
-//! share cuts off none; a peer's runs count only if they started no earlier than the slow ones,
-//! because at low load its last fast answers may be from before the slowness began. A trial costs at most one late answer; it comes after 100 ms, then after
-//! twice that, up to two seconds, so a lasting fault costs one answer in two seconds.
+//! An endpoint that was cut off gets single requests as trials. A trial costs at most one late
+//! answer. The first one comes after 100 ms, and the interval doubles with each failure, up to
+//! [`MAX_TRIAL_INTERVAL`].
 
 use crate::ClockTime;
 use crate::RequestTicket;
@@ -28,28 +32,29 @@
 use smallvec::SmallVec;
 use std::time::Duration;
 
-/// How many of the latest runs are judged.
+/// The number of latest runs over which the median is taken.
 const RECENT_RUNS: usize = 5;
 
-/// The fewest runs that allow a judgement.
-const JUDGED_RUNS: usize = 3;
+/// The minimum number of runs for a judgement.
+const MIN_JUDGED_RUNS: usize = 3;
 
-/// Runs longer than the best peer's by this factor halve an endpoint's work.
+/// An endpoint whose runs are longer than the best peer's by this factor keeps half of its slots.
 const HALF_FACTOR: f64 = 2.0;
 
-/// Runs longer than the best peer's by this factor cut an endpoint off.
+/// An endpoint whose runs are longer than the best peer's by this factor is cut off.
 const CUT_FACTOR: f64 = 3.0;
 
-/// Slots that are all held for this multiple of the expected run are a sign of slowness.
-pub(crate) const OVERDUE_FACTOR: f64 = 4.0;
+/// An endpoint counts as slow when all of its slots have been held for this multiple of the
+/// expected run.
+pub(crate) const STALL_FACTOR: f64 = 4.0;
 
-/// The time to the first trial of an endpoint that was cut off.
-const FIRST_TRIAL_GAP: Duration = Duration::from_millis(100);
+/// The time from the cut to the first trial.
+const FIRST_TRIAL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The longest time between two trials.
-const LONGEST_TRIAL_GAP: Duration = Duration::from_millis(400);
+/// The maximum interval between two trials.
+const MAX_TRIAL_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How much work an endpoint gets.
+/// The part of an endpoint's slots that is used for work that other endpoints could do.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HealthLevel {
     /// All of its slots.
@@ -57,37 +62,37 @@
     Full,
     /// Half of its slots.
     Half,
-    /// None but for trials.
+    /// No slots, except for trials.
     Cut,
 }
 
-/// One run, compared with what its kind takes elsewhere.
+/// The speed of one run, relative to the estimate for its kind.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RunSample {
-    /// When the run started.
+    /// The start of the run.
     pub(crate) started: ClockTime,
-    /// The ratio of the actual to the expected run.
+    /// The ratio of the actual to the expected run time.
     pub(crate) ratio: f64,
 }
 
-/// What is known of one endpoint's speed.
+/// The observed speed of one endpoint, and its level.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EndpointHealth {
     recent: SmallVec<[RunSample; RECENT_RUNS]>,
     level: HealthLevel,
-    trial_gap: Duration,
+    trial_interval: Duration,
     next_trial: ClockTime,
     trial: Option<RequestTicket>,
     cut_factor: f64,
 }
 
 impl EndpointHealth {
-    /// Returns how much work the endpoint gets.
+    /// Returns the endpoint's level.
     pub(crate) fn level(&self) -> HealthLevel {
         self.level
     }
 
-    /// Returns how many of its slots may be used for work that could go elsewhere.
+    /// Returns how many of its slots may be used for work that other endpoints could do.
     pub(crate) fn usable_slots(&self, slots: u32) -> u32 {
         match self.level {
             HealthLevel::Full => slots,
@@ -96,34 +101,34 @@
         }
     }
 
-    /// Says whether a trial may start.
+    /// Returns whether a trial may start.
     pub(crate) fn trial_due(&self, now: ClockTime) -> bool {
         self.level == HealthLevel::Cut && self.trial.is_none() && now >= self.next_trial
     }
 
-    /// Notes that a request was sent as a trial.
+    /// Records that a request was sent as a trial.
     pub(crate) fn begin_trial(&mut self, ticket: RequestTicket) {
         self.trial = Some(ticket);
     }
 
-    /// Returns the middle of the recent ratios of actual to expected run, if there are enough.
+    /// Returns the median of the recent ratios of actual to expected run time, if there are enough.
     pub(crate) fn score(&self) -> Option<f64> {
-        if self.recent.len() < JUDGED_RUNS {
+        if self.recent.len() < MIN_JUDGED_RUNS {
             return None;
         }
-        middle_ratio(&self.recent)
+        median_ratio(&self.recent)
     }
 
-    /// Returns the middle of the ratios of runs that started at a moment or later.
+    /// Returns the median of the ratios of runs that started at `since` or later.
     pub(crate) fn score_since(&self, since: ClockTime) -> Option<f64> {
         let later = self.recent.iter().filter(|sample| sample.started >= since);
         let later: SmallVec<[RunSample; RECENT_RUNS]> = later.copied().collect();
-        middle_ratio(&later)
+        median_ratio(&later)
     }
 
-    /// Returns when the oldest of the runs started that are enough to judge by.
+    /// Returns the start of the oldest of the latest [`MIN_JUDGED_RUNS`] runs.
     pub(crate) fn judged_since(&self) -> Option<ClockTime> {
-        let first = self.recent.len().checked_sub(JUDGED_RUNS)?;
+        let first = self.recent.len().checked_sub(MIN_JUDGED_RUNS)?;
         self.recent[first..]
             .iter()
             .map(|sample| sample.started)
@@ -139,7 +144,7 @@
         }
     }
 
-    /// Takes the run of a request that ended.
+    /// Records a run that was answered.
     pub(crate) fn observe(
         &mut self,
         now: ClockTime,
@@ -158,7 +163,8 @@
         self.keep(sample);
     }
 
-    /// Takes a run of an endpoint that is cut off: a trial, or work that had nowhere else to go.
+    /// Records a run on an endpoint that is cut off: a trial, or work that no other endpoint could
+    /// do.
     fn observe_cut(&mut self, now: ClockTime, trial: bool, sample: RunSample, best: f64) {
         if sample.ratio < HALF_FACTOR * best {
             self.recent.clear();
@@ -178,7 +184,7 @@
         self.recent.push(sample);
     }
 
-    /// Forgets a trial that ended without an answer; the next one comes later.
+    /// Records that a trial ended without an answer, and postpones the next one.
     pub(crate) fn drop_trial(&mut self, now: ClockTime, ticket: RequestTicket) {
         if self.trial == Some(ticket) {
             self.trial = None;
@@ -186,15 +192,16 @@
         }
     }
 
-    /// Adjusts the level to the comparison with the best peer.
+    /// Adjusts the level by comparison with the best peer.
     ///
-    /// `held` is the least ratio of elapsed to expected run over all slots, if all are held.
-    pub(crate) fn judge(&mut self, now: ClockTime, best: f64, held: Option<f64>) {
+    /// `stall_ratio` is the lowest ratio of elapsed to expected run time over all slots, if all are
+    /// held.
+    pub(crate) fn judge(&mut self, now: ClockTime, best: f64, stall_ratio: Option<f64>) {
         if self.level == HealthLevel::Cut {
             return;
         }
-        let overdue = held.filter(|ratio| *ratio >= OVERDUE_FACTOR * best);
-        let score = match (self.score(), overdue) {
+        let stalled = stall_ratio.filter(|ratio| *ratio >= STALL_FACTOR * best);
+        let score = match (self.score(), stalled) {
             (Some(score), Some(ratio)) => score.max(ratio),
             (Some(score), None) => score,
             (None, Some(ratio)) => ratio,
@@ -213,18 +220,18 @@
     fn cut_off(&mut self, now: ClockTime, factor: f64) {
         self.cut_factor = factor;
         self.level = HealthLevel::Cut;
-        self.trial_gap = FIRST_TRIAL_GAP;
-        self.next_trial = now + FIRST_TRIAL_GAP;
+        self.trial_interval = FIRST_TRIAL_INTERVAL;
+        self.next_trial = now + FIRST_TRIAL_INTERVAL;
     }
 
     fn postpone_trial(&mut self, now: ClockTime) {
-        self.trial_gap = (self.trial_gap * 2).min(LONGEST_TRIAL_GAP);
-        self.next_trial = now + self.trial_gap;
+        self.trial_interval = (self.trial_interval * 2).min(MAX_TRIAL_INTERVAL);
+        self.next_trial = now + self.trial_interval;
     }
 }
 
-/// Returns the middle of the ratios of some runs.
-fn middle_ratio(samples: &[RunSample]) -> Option<f64> {
+/// Returns the median ratio of some runs.
+fn median_ratio(samples: &[RunSample]) -> Option<f64> {
     let ratios = samples.iter().map(|sample| sample.ratio);
     let mut sorted: SmallVec<[f64; RECENT_RUNS]> = ratios.collect();
     sorted.sort_by(f64::total_cmp);
--- a/crates/policy/src/isolation.rs
+++ b/crates/policy/src/isolation.rs
@@ -1,98 +1,97 @@
-//! A gateway that is cut off: when another gateway is worth a try, and when callers are better off
-//! elsewhere.
+//! Detection that a gateway is cut off, and backoff of forwarding through other gateways.
 //!
-//! # The load it answers
+//! # Problem
 //!
-//! A gateway has lost every control VM and leaseholder, and hundreds of statements a second still come
-//! from its callers.
+//! A gateway has lost all control VMs and leaseholders, and hundreds of statements a second still
+//! arrive from its callers. If each waiting statement tried the other gateways many times a second,
+//! also when these are cut off as well, that would add a tenth to the traffic between failure
+//! domains when control is lost to all, and slow down everybody's recovery. Sessions would also
+//! stay where all their statements are refused.
 //!
-//! # Without it
+//! # Approach
 //!
-//! Each waiting statement goes round the other gateways many times a second, also when these are as
-//! badly off: when control is lost to all, that adds a tenth to the bytes between failure domains and
-//! makes everybody slow to come back. And sessions stay where all their statements are refused.
-//!
-//! # Grounds for its figures
-//!
-//! After a vain try others wait for [`TRY_PAUSE`], in which a gateway sees a dozen statements. A
-//! vain try tells of new sessions for [`KNOWN_TIME`], after which one is let in to find out. Where
-//! another gateway is reached and only the statement's group has no leaseholder, the pause is that
-//! group's alone.
+//! After a failed attempt no statement tries again for [`RETRY_PAUSE`], in which a gateway gets a
+//! dozen statements. For [`RESULT_VALIDITY`] after a failed attempt new sessions are refused; after
+//! that one is accepted as a new attempt. Where another gateway is reached and only the statement's
+//! group has no leaseholder, the pause holds for that group alone.
 
 use crate::ClockTime;
 use ragwort_types::GroupName;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The pause after a vain try; statements that come within it don't try.
-const TRY_PAUSE: Duration = Duration::from_millis(200);
+/// The pause after a failed attempt, in which other statements don't try.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// For how long a vain try is taken to tell how things stand.
-const KNOWN_TIME: Duration = Duration::from_millis(500);
+/// How long a failed attempt counts as evidence that the gateway is isolated.
+const RESULT_VALIDITY: Duration = Duration::from_millis(500);
 
-/// What a gateway without a lease knows of its reach.
+/// The reachability of other gateways, as seen by a gateway without a lease.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct IsolationWatch {
-    vain: Option<VainTries>,
+    failed: Option<FailedTries>,
 }
 
-/// Tries that reached no other gateway, one after the other.
+/// Consecutive attempts that reached no other gateway.
 #[derive(Clone, Copy, Debug)]
-struct VainTries {
+struct FailedTries {
     first: ClockTime,
     last: ClockTime,
 }
 
 impl IsolationWatch {
-    /// Notes that another gateway took a statement.
+    /// Records that another gateway accepted a statement.
     pub fn note_reached(&mut self) {
-        self.vain = None;
+        self.failed = None;
     }
 
-    /// Notes that no other gateway took a statement.
+    /// Records that no other gateway accepted a statement.
     pub fn note_vain(&mut self, now: ClockTime) {
-        let first = match self.vain {
-            Some(vain) if now.since(vain.last) < KNOWN_TIME => vain.first,
+        let first = match self.failed {
+            Some(failed) if now.since(failed.last) < RESULT_VALIDITY => failed.first,
             Some(_) | None => now,
         };
-        self.vain = Some(VainTries { first, last: now });
+        self.failed = Some(FailedTries { first, last: now });
     }
 
-    /// Says whether a statement should try other gateways now.
+    /// Returns whether a statement should try other gateways now.
     pub fn may_try(&self, now: ClockTime) -> bool {
-        self.vain
-            .is_none_or(|vain| now.since(vain.last) >= TRY_PAUSE)
+        self.failed
+            .is_none_or(|failed| now.since(failed.last) >= RETRY_PAUSE)
     }
 
-    /// Says whether all statements of a new session would be refused.
+    /// Returns whether all statements of a new session would be refused.
     pub fn is_isolated(&self, now: ClockTime) -> bool {
-        self.vain
-            .is_some_and(|vain| now.since(vain.last) < KNOWN_TIME)
+        self.failed
+            .is_some_and(|failed| now.since(failed.last) < RESULT_VALIDITY)
     }
 
-    /// Says whether that has been so for a time.
+    /// Returns whether the gateway has been isolated for at least `time`.
     pub fn is_isolated_for(&self, now: ClockTime, time: Duration) -> bool {
-        let long = self.vain.is_some_and(|vain| now.since(vain.first) >= time);
+        let long = self
+            .failed
+            .is_some_and(|failed| now.since(failed.first) >= time);
         long && self.is_isolated(now)
     }
 }
 
-/// The groups that have no leaseholder in reach of any gateway that was tried.
+/// The groups whose leaseholder was reachable through no gateway that was tried.
 #[derive(Clone, Debug, Default)]
 pub struct DetourPauses {
-    vain: BTreeMap<GroupName, ClockTime>,
+    failed: BTreeMap<GroupName, ClockTime>,
 }
 
 impl DetourPauses {
-    /// Notes that another gateway was reached that knows no way to the group's leaseholder either.
+    /// Records that another gateway was reached that has no route to the group's leaseholder
+    /// either.
     pub fn note_vain(&mut self, now: ClockTime, group: &GroupName) {
-        self.vain.retain(|_, last| now.since(*last) < TRY_PAUSE);
-        self.vain.insert(group.clone(), now);
+        self.failed.retain(|_, last| now.since(*last) < RETRY_PAUSE);
+        self.failed.insert(group.clone(), now);
     }
 
-    /// Says whether a statement for the group should try other gateways now.
+    /// Returns whether a statement for the group should try other gateways now.
     pub fn may_try(&self, now: ClockTime, group: &GroupName) -> bool {
-        let last = self.vain.get(group);
-        last.is_none_or(|last| now.since(*last) >= TRY_PAUSE)
+        let last = self.failed.get(group);
+        last.is_none_or(|last| now.since(*last) >= RETRY_PAUSE)
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,12 +1,14 @@
-//! Decisions under load of ragwortgate.
+//! Scheduling and overload policies of ragwortgate.
 //!
 //! The leaseholder of a database group owns its endpoints' slots and connections. This crate
-//! decides who gets them. It has no network, no clock and no locks: events and the present moment go
-//! in, decisions come out, and the leaseholder carries them out.
+//! decides which requests get them, and contains the policies for admission, routing, rate limits
+//! and failure detection around that. It has no network, no clock and no locks: events and the
+//! present time go in, decisions come out, and the caller carries them out.
 //!
 //! # Examples
 //!
-//! A group with one endpoint. A connection is opened ahead; then a request arrives and is sent:
+//! A group with one endpoint. A connection is opened ahead; then a request arrives and is
+//! dispatched:
 //!
 //! ```
 //! use ragwort_policy::ArrivalDecision;
@@ -97,14 +99,14 @@
 mod account_ledger;
 mod account_shares;
 mod admission;
-mod board;
+mod caller_pacing;
 mod connections;
 mod customers;
 mod endpoints;
 mod estimate;
+mod forecast;
 mod gateway_limit;
 mod health;
-mod hot;
 mod isolation;
 mod link_watch;
 mod long_jobs;
@@ -131,13 +133,13 @@
 pub use account_ledger::LedgerBook;
 pub use account_ledger::LedgerQuestion;
 pub use account_ledger::LimitTolerance;
-pub use account_ledger::SHARE_TIME;
+pub use account_ledger::SHARE_LIFETIME;
 pub use account_shares::LimitShares;
 pub use account_shares::TakeDecision;
 pub use account_shares::WaitersEnd;
 pub use connections::ConnectionAllowance;
 pub use gateway_limit::FlightLimiter;
-pub use gateway_limit::GROUP_FLIGHT_LIMIT;
+pub use gateway_limit::GROUP_IN_FLIGHT_LIMIT;
 pub use health::HealthLevel;
 pub use isolation::DetourPauses;
 pub use isolation::IsolationWatch;
--- a/crates/policy/src/link_watch.rs
+++ b/crates/policy/src/link_watch.rs
@@ -1,79 +1,79 @@
-//! Silence on a link to a leaseholder: when to ask, and when to give up.
+//! Failure detector for a link to a leaseholder.
 //!
-//! # The load it answers
+//! # Problem
 //!
-//! A leaseholder's VM loses power, freezes or is cut off. Its links stay open and say nothing, while
-//! each second brings hundreds of statements for it.
+//! A leaseholder's VM loses power, freezes or is cut off. Its links stay open and silent, while
+//! each second brings hundreds of statements for it. Every statement would wait until its deadline,
+//! those behind it would wait to find out the same, and their callers would have no time left to be
+//! served by the successor.
 //!
-//! # Without it
+//! # Approach
 //!
-//! Every statement waits until its deadline, those behind it wait to find out the same, and their
-//! callers have no time left to be served by the successor.
-//!
-//! # Grounds for its figures
-//!
-//! A link that owes replies is asked when nothing at all was heard for [`QUIET_TIME`], and given up
-//! when the question isn't answered within [`ANSWER_TIME`]. Statements take 3 to 110 ms, a way between
-//! failure domains 1.5 ms, so a link that owes replies is rarely quiet for as long. A link that is
-//! given up by mistake costs doubt about the writes on it; that is why one question is asked first. The
-//! two together stay under half of the lease after which the successor takes over.
+//! A link with unanswered calls is probed when nothing at all was received for [`QUIET_TIME`], and
+//! given up when the probe isn't answered within [`ANSWER_TIME`]. Statements take 3 to 110 ms, one
+//! way between failure domains 1.5 ms, so a link with unanswered calls is rarely quiet for that
+//! long. Giving up a working link leaves the outcome of the writes on it unknown; that is why it is
+//! probed first. The sum of both times stays under half of the lease after which the successor
+//! takes over.
 
 use crate::ClockTime;
 use std::time::Duration;
 
-/// How long a link that owes replies may be quiet before it is asked.
+/// How long a link with unanswered calls may be quiet before it is probed.
 pub const QUIET_TIME: Duration = Duration::from_millis(200);
 
-/// How long the answer may take.
+/// How long the answer to a probe may take.
 pub const ANSWER_TIME: Duration = Duration::from_millis(250);
 
-/// What to do about a link now.
+/// The next step for a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkStep {
-    /// Nothing before this moment.
+    /// Do nothing before this time.
     WaitUntil(ClockTime),
-    /// Ask whether the other side still answers.
+    /// Send a probe.
     Ask,
-    /// Take the link for lost.
+    /// Treat the link as lost.
     GiveUp,
 }
 
-/// What is known of one link's silence.
+/// The times by which one link's silence is judged.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LinkWatch {
-    heard: ClockTime,
-    asked: Option<ClockTime>,
+    last_received: ClockTime,
+    probed_at: Option<ClockTime>,
 }
 
 impl LinkWatch {
     /// Starts to watch a link that was opened at `now`.
     pub fn new(now: ClockTime) -> Self {
         Self {
-            heard: now,
-            asked: None,
+            last_received: now,
+            probed_at: None,
         }
     }
 
-    /// Notes that something was heard, whatever it was.
+    /// Records that anything was received.
     pub fn hear(&mut self, now: ClockTime) {
-        self.heard = now;
-        self.asked = None;
+        self.last_received = now;
+        self.probed_at = None;
     }
 
-    /// Says what to do about a link whose oldest call without a reply was made at `owed_since`.
-    pub fn judge(&mut self, now: ClockTime, owed_since: ClockTime) -> LinkStep {
-        if let Some(asked) = self.asked {
-            return match now.since(asked) >= ANSWER_TIME {
+    /// Returns the next step for a link whose oldest unanswered call was made at
+    /// `oldest_unanswered`.
+    pub fn judge(&mut self, now: ClockTime, oldest_unanswered: ClockTime) -> LinkStep {
+        if let Some(probed_at) = self.probed_at {
+            return match now.since(probed_at) >= ANSWER_TIME {
                 true => LinkStep::GiveUp,
-                false => LinkStep::WaitUntil(asked + ANSWER_TIME),
+                false => LinkStep::WaitUntil(probed_at + ANSWER_TIME),
             };
         }
-        let quiet_since = self.heard.max(owed_since);
+        let quiet_since = self.last_received.max(oldest_unanswered);
         if now.since(quiet_since) < QUIET_TIME {
             return LinkStep::WaitUntil(quiet_since + QUIET_TIME);
         }
-        // A process that was stopped itself finds a long silence at its return. It asks first, too.
-        self.asked = Some(now);
+        // A process that was stopped itself finds a long silence when it resumes, so it sends a
+        // probe first, too.
+        self.probed_at = Some(now);
         LinkStep::Ask
     }
 }
--- a/crates/policy/src/long_jobs.rs
+++ b/crates/policy/src/long_jobs.rs
@@ -1,30 +1,27 @@
-//! Long jobs among short ones.
+//! Slot reservation for short requests among long jobs.
 //!
-//! # The load it answers
+//! # Problem
 //!
-//! Reports of half a second arrive among lookups of milliseconds.
+//! Reports of half a second arrive among lookups of milliseconds. With two slots for each endpoint,
+//! six reports that arrive together hold a whole group for half a second, and every lookup in that
+//! time is late.
 //!
-//! # Without it
-//!
-//! With two slots an endpoint, six reports that arrive together hold a whole group for half a
-//! second, and every lookup in that time is late.
-//!
-//! # Grounds for its figures
+//! # Approach
 //!
 //! An endpoint gives long jobs all of its slots but one, even while nothing short waits: a long job
-//! can't be stopped when a short request arrives a millisecond later. An endpoint with a single
-//! slot takes a long job only while another endpoint is without one. A run that has lasted longer
-//! than the limit of [`LONG_THRESHOLD`](crate::estimate::LONG_THRESHOLD) counts as long from then
-//! on, whatever its kind promised.
+//! can't be preempted when a short request arrives a millisecond later. An endpoint with a single
+//! slot takes a long job only while another endpoint runs none. A run that has lasted longer than
+//! [`LONG_THRESHOLD`](crate::estimate::LONG_THRESHOLD) counts as long from then on, whatever its
+//! kind says.
 
-/// Returns how many long jobs an endpoint takes at once.
+/// Returns the maximum number of concurrent long jobs on an endpoint.
 pub(crate) fn long_job_limit(slots: u32) -> u32 {
     slots.saturating_sub(1).max(1)
 }
 
-/// Says whether one more long job may start on an endpoint.
+/// Returns whether one more long job may start on an endpoint.
 ///
-/// `elsewhere_free` says whether another endpoint keeps a slot for short work.
+/// `elsewhere_free` tells whether another endpoint runs no long job.
 pub(crate) fn may_start_long(slots: u32, long_running: u32, elsewhere_free: bool) -> bool {
     if slots <= 1 {
         return long_running == 0 && elsewhere_free;
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -1,10 +1,10 @@
-//! Where a request may be placed at a moment of the plan, and whether it can end in time.
+//! Eligibility of instances for a planned request, and whether a request can end in time.
 
 use crate::ClockTime;
 use crate::EndpointRole;
 use crate::RequestStep;
 use crate::admission::misses_deadline;
-use crate::admission::stretch_start;
+use crate::admission::scaled_start;
 use crate::endpoints::EndpointRecord;
 use crate::plan::ChoicePass;
 use crate::plan::DispatchPlan;
@@ -12,31 +12,34 @@
 use crate::plan::PlannedStart;
 use crate::plan::write_key;
 use crate::queue::LaneKind;
-use crate::queue::URGENT_RUN;
+use crate::queue::MAX_URGENT_RUN;
 use crate::queue::WaitingRequest;
 use crate::routing::ServingFitness;
 use crate::routing::judge_fitness;
 use std::time::Duration;
 
-/// Reads may take the primary's slots when more than this many wait for each slot of the replicas.
+/// Reads may use the primary's slots when more than this many reads wait for each slot of the
+/// replicas.
 const SPILL_READS_PER_SLOT: u32 = 2;
 
-/// The wait for which a new request must have time before its target, in percent of the planned one:
-/// others overtake it, and one that is let in and becomes overdue later has waited for nothing.
-const TARGET_STRETCH_PERCENT: u64 = 200;
+/// The wait that must fit before a new request's target, in percent of the planned wait. Other
+/// requests overtake it, and one that is admitted and misses its target later has waited for
+/// nothing.
+const TARGET_WAIT_PERCENT: u64 = 200;
 
-/// A trial goes without regard to the request's slack after it was due for this long.
-const TRIAL_PATIENCE: Duration = Duration::from_millis(200);
+/// A trial that has been due for this long takes the next suitable request, regardless of its
+/// slack.
+const FORCED_TRIAL_DELAY: Duration = Duration::from_millis(200);
 
 impl DispatchPlan<'_> {
-    /// Finds the instance on which a request that no transaction ties would end first.
+    /// Finds the instance on which a request outside of a transaction would end first.
     pub(crate) fn place(&self, request: &WaitingRequest, pass: ChoicePass) -> Option<PlanAction> {
         let at = pass.at;
-        if self.is_key_held(request, at) {
+        if self.is_key_locked(request, at) {
             return None;
         }
         let mut best: Option<PlannedStart> = None;
-        for instance in 0..self.boards.len() {
+        for instance in 0..self.forecasts.len() {
             let Some(trial) = self.accepts(request, instance, pass) else {
                 continue;
             };
@@ -53,7 +56,8 @@
         best.map(PlanAction::Start)
     }
 
-    /// Says whether an instance takes a request now, and if so whether as a trial.
+    /// Returns whether an instance accepts a request now: `Some(true)` as a trial, `Some(false)` as
+    /// regular work, `None` if it doesn't.
     pub(crate) fn accepts(
         &self,
         request: &WaitingRequest,
@@ -61,19 +65,19 @@
         pass: ChoicePass,
     ) -> Option<bool> {
         let at = pass.at;
-        let board = &self.boards[instance];
+        let forecast = &self.forecasts[instance];
         let record = &self.input.endpoints.records()[instance];
-        if board.free_slot(at).is_none() || !board.is_connected(at) {
+        if forecast.free_slot(at).is_none() || !forecast.is_connected(at) {
             return None;
         }
         if !self.is_fit(record, request, at) || !self.length_fits(request, instance, at) {
             return None;
         }
-        if pass.urgent && pass.bounded && board.urgent_run >= URGENT_RUN {
+        if pass.urgent && pass.bounded && forecast.urgent_run >= MAX_URGENT_RUN {
             return None;
         }
         let opens = request.profile.step == RequestStep::Opens;
-        if opens && !board.takes_pin(at) {
+        if opens && !forecast.takes_pin(at) {
             return None;
         }
         let primary = record.state.role == EndpointRole::Primary;
@@ -83,7 +87,7 @@
         if primary && !pass.spill && self.input.switches.routing {
             return None;
         }
-        if board.held(at) < board.usable {
+        if forecast.held(at) < forecast.usable {
             return Some(false);
         }
         if pass.spill && !primary && self.has_time_for_slow_run(request, instance, at) {
@@ -92,8 +96,8 @@
         self.accepts_trial(request, instance, at).then_some(true)
     }
 
-    /// Says whether a read has time for a run on a slow endpoint that takes twice as long as its
-    /// slow runs do.
+    /// Returns whether a read could run on a slow endpoint for twice as long as is expected there
+    /// and still meet its deadline.
     pub(crate) fn has_time_for_slow_run(
         &self,
         request: &WaitingRequest,
@@ -110,17 +114,17 @@
         instance: usize,
         at: ClockTime,
     ) -> bool {
-        let board = &self.boards[instance];
-        if at != self.input.now || !board.trial || request.lane.urgent || request.lane.long {
+        let forecast = &self.forecasts[instance];
+        if at != self.input.now || !forecast.trial || request.lane.urgent || request.lane.long {
             return false;
         }
         let record = &self.input.endpoints.records()[instance];
         let run = self.expected_on(request, instance);
         let slack = !misses_deadline(at, run, Duration::ZERO, request.profile.deadline);
-        slack || record.health.trial_due(at.before(TRIAL_PATIENCE))
+        slack || record.health.trial_due(at.before(FORCED_TRIAL_DELAY))
     }
 
-    /// Says whether the instance may serve the request by position and age.
+    /// Returns whether the instance may serve the request by role, position and data age.
     pub(crate) fn is_fit(
         &self,
         record: &EndpointRecord,
@@ -129,13 +133,14 @@
     ) -> bool {
         match judge_fitness(record, &request.profile, self.input.now) {
             ServingFitness::Ready => true,
-            // A plan for later trusts the replica to catch up; a dispatch does not.
+            // A plan for a later moment assumes that the replica catches up; a dispatch doesn't.
             ServingFitness::ReadyAt(moment) => at > self.input.now && at >= moment,
             ServingFitness::Unfit => false,
         }
     }
 
-    /// Says whether reads of a lane may take slots of the primary while replicas could serve them.
+    /// Returns whether reads of a lane may use the primary's slots although replicas could serve
+    /// them.
     pub(crate) fn may_spill(&self, lane: LaneKind) -> bool {
         if !lane.replica || lane.long || !self.input.switches.routing {
             return false;
@@ -143,10 +148,11 @@
         let records = self.input.endpoints.records();
         let replicas = records
             .iter()
-            .zip(&self.boards)
+            .zip(&self.forecasts)
             .filter(|(record, _)| record.state.role == EndpointRole::Replica);
-        let slots: u32 = replicas.map(|(_, board)| board.usable).sum();
-        self.replica_reads > usize::try_from(slots * SPILL_READS_PER_SLOT).unwrap_or(usize::MAX)
+        let slots: u32 = replicas.map(|(_, forecast)| forecast.usable).sum();
+        self.unplanned_replica_reads
+            > usize::try_from(slots * SPILL_READS_PER_SLOT).unwrap_or(usize::MAX)
     }
 
     pub(crate) fn length_fits(
@@ -158,20 +164,20 @@
         if !request.lane.long || !self.input.switches.long_jobs {
             return true;
         }
-        let others = self.boards.iter().enumerate();
+        let others = self.forecasts.iter().enumerate();
         let elsewhere_free = others
-            .filter(|(index, board)| *index != instance && !board.slots.is_empty())
-            .any(|(_, board)| board.long_running(at) == 0);
-        self.boards[instance].takes_long(at, elsewhere_free)
+            .filter(|(index, forecast)| *index != instance && !forecast.slots.is_empty())
+            .any(|(_, forecast)| forecast.long_running(at) == 0);
+        self.forecasts[instance].takes_long(at, elsewhere_free)
     }
 
-    pub(crate) fn is_key_held(&self, request: &WaitingRequest, at: ClockTime) -> bool {
+    pub(crate) fn is_key_locked(&self, request: &WaitingRequest, at: ClockTime) -> bool {
         let Some(key) = write_key(request) else {
             return false;
         };
-        self.input.switches.hot_callers
+        self.input.switches.caller_pacing
             && self
-                .write_keys
+                .key_locks
                 .iter()
                 .any(|hold| hold.key == key && hold.until > at)
     }
@@ -179,31 +185,31 @@
     pub(crate) fn expected_on(&self, request: &WaitingRequest, instance: usize) -> Duration {
         let estimate = self.input.estimates.get(request.kind);
         let record = &self.input.endpoints.records()[instance];
-        let slowdown = self.boards[instance].slowdown_percent;
+        let slowdown = self.forecasts[instance].slowdown_percent;
         let fresh = request.pinned_to.is_none();
         let opening = match fresh && record.lacks_connection(request.profile.account) {
             true => self.input.connect_time,
             false => Duration::ZERO,
         };
-        estimate.expected_times(slowdown) + record.round_trip + opening
+        estimate.expected_scaled(slowdown) + record.round_trip + opening
     }
 
-    /// Says whether a request would miss its deadline on every instance that may serve it.
-    pub(crate) fn is_hopeless(&self, request: &WaitingRequest, at: ClockTime) -> bool {
+    /// Returns whether a request would miss its deadline on every instance that may serve it.
+    pub(crate) fn cannot_meet_deadline(&self, request: &WaitingRequest, at: ClockTime) -> bool {
         if !self.input.switches.early_refusal {
             return request.profile.deadline <= at;
         }
-        let start = self.foresee_start(request, at);
+        let start = self.pessimistic_start(request, at);
         self.would_miss(request, start, request.profile.deadline)
     }
 
-    /// Says whether a request would miss its target on every instance that may serve it.
+    /// Returns whether a request would miss its target on every instance that may serve it.
     ///
-    /// Under more load than the group can do, requests in the order of their deadlines all wait until
-    /// shortly before these, and every answer is late. Behind those that can still be in time, a
-    /// request that can't costs nobody a timely answer. Urgent ones keep their place.
-    pub(crate) fn is_overdue(&self, request: &WaitingRequest, at: ClockTime) -> bool {
-        if request.lane.overdue || request.lane.urgent || !self.input.switches.targets {
+    /// Under overload, requests in deadline order all wait until shortly before their deadlines,
+    /// and every answer misses its target. Served behind those that can still meet their target, a
+    /// request that can't delays no timely answer. Urgent requests keep their place.
+    pub(crate) fn cannot_meet_target(&self, request: &WaitingRequest, at: ClockTime) -> bool {
+        if request.lane.target_missed || request.lane.urgent || !self.input.switches.targets {
             return false;
         }
         let Some(target) = request.profile.target else {
@@ -211,19 +217,19 @@
         };
         let start = match request.planned_wait {
             Some(_) => at,
-            None => stretch_start(
+            None => scaled_start(
                 self.input.now,
                 at.since(self.input.now),
-                TARGET_STRETCH_PERCENT,
+                TARGET_WAIT_PERCENT,
             ),
         };
         self.would_miss(request, start, target)
     }
 
-    /// Says whether a request that starts at `start` would end after `moment` on every instance that
-    /// may serve it.
+    /// Returns whether a request that starts at `start` would end after `moment` on every instance
+    /// that may serve it.
     fn would_miss(&self, request: &WaitingRequest, start: ClockTime, moment: ClockTime) -> bool {
-        let runs = (0..self.boards.len())
+        let runs = (0..self.forecasts.len())
             .filter(|instance| self.could_serve(request, *instance))
             .map(|instance| self.expected_on(request, instance));
         let Some(run) = runs.min() else {
@@ -233,27 +239,31 @@
         misses_deadline(start, run, margin, moment)
     }
 
-    /// Returns when a request is to be expected to start that is planned to start at `at`.
+    /// Returns the expected start of a request that is planned to start at `at`.
     ///
-    /// A request that was let in keeps its place as long as the plan gives it a chance. A new one
-    /// needs time for the wait that experience foresees: let in on the edge of its deadline, it
-    /// would be refused later, with little of its time left, when a run before it takes longer than
-    /// expected or another request overtakes it.
-    pub(crate) fn foresee_start(&self, request: &WaitingRequest, at: ClockTime) -> ClockTime {
+    /// A request that was admitted keeps its place as long as the plan lets it meet its deadline.
+    /// For a new one the planned wait is scaled by the learned factor: admitted on the edge of its
+    /// deadline, it would be refused later, with little of its time left, when a run before it
+    /// takes longer than expected or another request overtakes it.
+    pub(crate) fn pessimistic_start(&self, request: &WaitingRequest, at: ClockTime) -> ClockTime {
         if request.planned_wait.is_some() {
             return at;
         }
         let now = self.input.now;
-        let stretch = self.input.customers.get(request.customer).stretch(request);
-        stretch_start(now, at.since(now), stretch.percent())
+        let wait_factor = self
+            .input
+            .customers
+            .get(request.customer)
+            .wait_factor(request);
+        scaled_start(now, at.since(now), wait_factor.percent())
     }
 
-    /// Says whether an instance is one of those that serve requests like this one.
+    /// Returns whether an instance is one of those that serve requests of this lane.
     pub(crate) fn could_serve(&self, request: &WaitingRequest, instance: usize) -> bool {
         let record = &self.input.endpoints.records()[instance];
         match record.state.role {
             EndpointRole::Primary => true,
-            EndpointRole::Replica => request.lane.replica && self.boards[instance].usable > 0,
+            EndpointRole::Replica => request.lane.replica && self.forecasts[instance].usable > 0,
             EndpointRole::Unusable => false,
         }
     }
@@ -269,7 +279,7 @@
         let margin = self.input.estimates.get(request.kind).deviation();
         let late = misses_deadline(at, expected, margin, request.profile.deadline);
         if self.input.switches.early_refusal && late && !trial {
-            return PlanAction::Hopeless;
+            return PlanAction::CannotMeetDeadline;
         }
         PlanAction::Start(PlannedStart {
             instance,
@@ -285,8 +295,8 @@
         other: &PlannedStart,
         at: ClockTime,
     ) -> bool {
-        let held = self.boards[start.instance].held(at);
-        let other_held = self.boards[other.instance].held(at);
+        let held = self.forecasts[start.instance].held(at);
+        let other_held = self.forecasts[other.instance].held(at);
         if !self.input.switches.routing {
             return held < other_held;
         }
--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -1,153 +1,160 @@
-//! The plan: in which order the waiting requests start, on which instance, and when.
+//! Simulated dispatch schedule of all waiting requests of one group.
 //!
-//! One walk over the queue serves three modules. Its picks for the present moment are dispatched;
-//! its picks for later moments tell which requests will miss their deadlines; and it looks ahead
-//! to the expected end of each slot. Because the same code picks now and later, a refusal rests on
-//! exactly the order in which requests are served.
+//! A plan decides in which order the waiting requests start, on which instance and when. It is a
+//! list scheduling simulation: at the present moment, and then at each later moment at which a slot
+//! or a connection is expected to become free, it repeatedly picks the best request that an
+//! instance can take.
+//!
+//! One run of the simulation serves three purposes. Starts at the present moment are dispatched,
+//! starts at later moments show which requests will miss their deadlines, and the expected end of
+//! each run gives the next free slot. Because the same code picks requests for now and for later, a
+//! request is refused early only on the basis of the order in which requests are really served.
 
 use crate::ClockTime;
 use crate::EndpointRole;
 use crate::ExcessRule;
 use crate::RequestStep;
-use crate::board::BoardSwitches;
-use crate::board::InstanceBoard;
-use crate::board::SlotBoard;
 use crate::customers::CustomerTable;
 use crate::endpoints::EndpointRecord;
 use crate::endpoints::EndpointTable;
 use crate::estimate::EstimateTable;
-use crate::queue::LANES;
+use crate::forecast::ForecastOptions;
+use crate::forecast::InstanceForecast;
+use crate::forecast::SlotForecast;
+use crate::queue::LANE_COUNT;
 use crate::queue::LaneEntry;
 use crate::queue::LaneKind;
 use crate::queue::WaitingQueue;
 use crate::queue::WaitingRequest;
 use crate::settings::ModuleSwitches;
-use crate::shares::ShareLedger;
+use crate::shares::FairClock;
 use ragwort_types::AccessMode;
 use smallvec::SmallVec;
 use std::time::Duration;
 
-/// Entries of a lane that are looked at before the lane is passed over.
+/// Number of entries of a lane that are examined before the plan moves on to the next lane.
 ///
-/// The head of a lane may have to wait for a replica to catch up, or for another write on its key,
-/// while those behind it need not.
+/// The request at the head of a lane may have to wait for a replica to catch up, or for another
+/// write on its key, while requests behind it can start.
 const LOOK_AHEAD: usize = 16;
 
-/// Statements of open transactions that may go in a row on one instance while fresh work waits.
-const PINNED_RUN: u32 = 3;
+/// Maximum number of consecutive statements of open transactions on one instance while requests
+/// outside of transactions wait.
+const MAX_PINNED_RUN: u32 = 3;
 
-/// What a plan is made from.
+/// The state from which a plan is computed.
 #[derive(Clone, Copy)]
 pub(crate) struct PlanInput<'a> {
-    /// The present moment.
+    /// The present time.
     pub(crate) now: ClockTime,
-    /// What waits.
+    /// The waiting requests.
     pub(crate) queue: &'a WaitingQueue,
-    /// Where it may go.
+    /// The endpoints of the group.
     pub(crate) endpoints: &'a EndpointTable,
-    /// How long it will run.
+    /// The estimated run times, by kind.
     pub(crate) estimates: &'a EstimateTable,
-    /// How far their customers' waits are stretched.
+    /// The customers, with the factors by which their planned waits are scaled.
     pub(crate) customers: &'a CustomerTable,
-    /// Who goes next.
-    pub(crate) ledger: &'a ShareLedger,
-    /// How long opening a connection takes.
+    /// The virtual times that decide which customer is served next.
+    pub(crate) fair_clock: &'a FairClock,
+    /// The time that opening a connection takes.
     pub(crate) connect_time: Duration,
-    /// How long transactions hold a connection.
+    /// The mean time for which a transaction holds a connection.
     pub(crate) pin_hold: Duration,
     /// What endpoints do with statements beyond their slots.
     pub(crate) excess: ExcessRule,
-    /// Which modules are at work.
+    /// The modules in use.
     pub(crate) switches: ModuleSwitches,
 }
 
-/// One step of a plan.
+/// A decision about one request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PlanStep {
-    /// The request's place in the queue's store.
+    /// The index of the request in the queue's slab.
     pub(crate) slot: usize,
-    /// What becomes of it.
+    /// The decision.
     pub(crate) action: PlanAction,
 }
 
-/// What becomes of a request.
+/// What the plan decides about a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum PlanAction {
-    /// It starts on the instance with this index, and is expected to hold its slot this long.
+    /// The request starts on an instance.
     Start(PlannedStart),
-    /// It can't end before its target any more, and goes behind those that can.
-    Overdue,
-    /// It can't end before its deadline any more.
-    Hopeless,
+    /// The request can no longer end before its target, and is placed behind those that can.
+    CannotMeetTarget,
+    /// The request can no longer end before its deadline.
+    CannotMeetDeadline,
 }
 
-/// A planned start.
+/// The planned start of a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PlannedStart {
     /// The index of the instance.
     pub(crate) instance: usize,
-    /// When it starts.
+    /// The time of the start.
     pub(crate) at: ClockTime,
-    /// How long it is expected to hold its slot.
+    /// How long the request is expected to hold its slot.
     pub(crate) expected: Duration,
-    /// Whether it tries an endpoint that was cut off.
+    /// Whether the request is a trial of an endpoint that was cut off.
     pub(crate) trial: bool,
 }
 
-/// A request that could go next.
+/// A request that can go next, with the keys by which candidates are compared.
 #[derive(Clone, Copy)]
 struct PlanCandidate {
     entry: LaneEntry,
-    account: u64,
+    virtual_time: u64,
     action: PlanAction,
 }
 
-/// What is looked for in one pass over the queue.
+/// The requests and slots that one selection pass over the queue considers.
 #[derive(Clone, Copy)]
 pub(crate) struct ChoicePass {
-    /// The moment for which the pass is made.
+    /// The simulated time of the pass.
     pub(crate) at: ClockTime,
-    /// Whether urgent requests are looked for, or ordinary ones.
+    /// Whether the pass selects urgent requests, or ordinary ones.
     pub(crate) urgent: bool,
-    /// Whether instances that served many urgent requests in a row are left to ordinary ones.
+    /// Whether to skip instances that have served `MAX_URGENT_RUN` urgent requests in a row.
     pub(crate) bounded: bool,
-    /// Whether reads may take the primary's slots although replicas could serve them.
+    /// Whether reads that replicas could serve may use the primary's slots.
     pub(crate) spill: bool,
-    /// Whether requests are looked for that can't meet their target any more.
-    pub(crate) overdue: bool,
-    /// Whether a slot is open to reads that replicas may serve.
+    /// Whether the pass selects requests that can no longer meet their target.
+    pub(crate) target_missed: bool,
+    /// Whether a slot is available to reads that replicas may serve.
     pub(crate) reads: bool,
-    /// Whether a slot is open to requests that need the primary.
+    /// Whether a slot is available to requests that need the primary.
     pub(crate) writes: bool,
 }
 
 impl ChoicePass {
-    fn looks_at(&self, lane: LaneKind) -> bool {
+    fn includes_lane(&self, lane: LaneKind) -> bool {
         let open = if lane.replica {
             self.reads
         } else {
             self.writes
         };
-        lane.urgent == self.urgent && lane.overdue == self.overdue && open
+        lane.urgent == self.urgent && lane.target_missed == self.target_missed && open
     }
 }
 
-/// A walk over the queue in the order of service.
+/// The state of the simulation.
 pub(crate) struct DispatchPlan<'a> {
     pub(crate) input: PlanInput<'a>,
-    pub(crate) boards: SmallVec<[InstanceBoard; 4]>,
-    pub(crate) ledger: ShareLedger,
-    pub(crate) taken: Vec<bool>,
-    /// The first entry of each lane that isn't known to be taken, by place among the active customers.
-    pub(crate) cursors: SmallVec<[[usize; LANES]; 8]>,
-    pub(crate) write_keys: SmallVec<[WriteHold; 4]>,
-    pub(crate) replica_reads: usize,
-    pub(crate) ordinary_left: usize,
+    pub(crate) forecasts: SmallVec<[InstanceForecast; 4]>,
+    pub(crate) fair_clock: FairClock,
+    pub(crate) planned: Vec<bool>,
+    /// The first entry of each lane that may still be unplanned, by position among the active
+    /// customers.
+    pub(crate) cursors: SmallVec<[[usize; LANE_COUNT]; 8]>,
+    pub(crate) key_locks: SmallVec<[KeyLock; 4]>,
+    pub(crate) unplanned_replica_reads: usize,
+    pub(crate) unplanned_ordinary: usize,
 }
 
-/// A write that runs and excludes others on its key.
+/// A running write, which excludes other writes on the same key until it ends.
 #[derive(Clone, Copy)]
-pub(crate) struct WriteHold {
+pub(crate) struct KeyLock {
     pub(crate) key: u64,
     pub(crate) until: ClockTime,
 }
@@ -156,13 +163,13 @@
     /// Starts a plan from the present state.
     pub(crate) fn new(input: PlanInput<'a>) -> Self {
         let records = input.endpoints.records();
-        let boards = records.iter().map(|record| {
-            InstanceBoard::from_record(
+        let forecasts = records.iter().map(|record| {
+            InstanceForecast::from_record(
                 record,
                 input.now,
                 input.connect_time,
                 input.pin_hold,
-                BoardSwitches {
+                ForecastOptions {
                     health: input.switches.health,
                     excess: input.excess,
                 },
@@ -170,24 +177,24 @@
         });
         Self {
             input,
-            boards: boards.collect(),
-            ledger: input.ledger.clone(),
-            taken: vec![false; input.queue.capacity()],
-            cursors: SmallVec::from_elem([0; LANES], input.queue.active().len()),
-            write_keys: running_keys(records, input.now),
-            replica_reads: input.queue.count_lanes(|lane| lane.replica),
-            ordinary_left: input.queue.count_lanes(|lane| !lane.urgent),
+            forecasts: forecasts.collect(),
+            fair_clock: input.fair_clock.clone(),
+            planned: vec![false; input.queue.capacity()],
+            cursors: SmallVec::from_elem([0; LANE_COUNT], input.queue.active().len()),
+            key_locks: running_key_locks(records, input.now),
+            unplanned_replica_reads: input.queue.count_lanes(|lane| lane.replica),
+            unplanned_ordinary: input.queue.count_lanes(|lane| !lane.urgent),
         }
     }
 
-    /// Walks the plan at the present moment only and returns its steps.
+    /// Plans the present moment only and returns its steps.
     pub(crate) fn walk_present(mut self) -> Vec<PlanStep> {
         let mut steps = Vec::new();
         self.walk_moment(self.input.now, &mut steps);
         steps
     }
 
-    /// Walks the plan until every request that can be placed is placed.
+    /// Plans until every request that can be placed has been placed, and returns all steps.
     pub(crate) fn walk_all(mut self) -> Vec<PlanStep> {
         let mut steps = Vec::new();
         let mut moment = Some(self.input.now);
@@ -211,15 +218,16 @@
         }
     }
 
-    /// Returns the next moment after `at` at which something can change.
+    /// Returns the next moment after `at` at which a slot, a connection or a replica becomes
+    /// available.
     fn next_moment(&self, at: ClockTime) -> Option<ClockTime> {
-        let slots = self.boards.iter().flat_map(|board| &board.slots);
+        let slots = self.forecasts.iter().flat_map(|forecast| &forecast.slots);
         let frees = slots.map(|slot| slot.free_at);
         let connects = self
-            .boards
+            .forecasts
             .iter()
-            .filter(|board| !board.slots.is_empty())
-            .flat_map(|board| [board.connected_at, board.pin_at]);
+            .filter(|forecast| !forecast.slots.is_empty())
+            .flat_map(|forecast| [forecast.connected_at, forecast.pin_at]);
         let records = self.input.endpoints.records();
         let now = self.input.now;
         let ages = records.iter().filter_map(|record| record.age(now));
@@ -233,23 +241,23 @@
 
     fn choose(&mut self, at: ClockTime) -> Option<PlanCandidate> {
         if self
-            .boards
+            .forecasts
             .iter()
-            .all(|board| board.free_slot(at).is_none())
+            .all(|forecast| forecast.free_slot(at).is_none())
         {
             return None;
         }
-        if let Some(candidate) = self.choose_pinned(at, PINNED_RUN) {
+        if let Some(candidate) = self.choose_pinned(at, MAX_PINNED_RUN) {
             return Some(candidate);
         }
-        self.choose_fresh(at, false)
+        self.choose_unpinned(at, false)
             .or_else(|| self.choose_pinned(at, u32::MAX))
-            .or_else(|| self.choose_fresh(at, true))
+            .or_else(|| self.choose_unpinned(at, true))
     }
 
     fn choose_pinned(&self, at: ClockTime, run_limit: u32) -> Option<PlanCandidate> {
         for entry in self.input.queue.pinned() {
-            if self.taken[entry.slot] {
+            if self.planned[entry.slot] {
                 continue;
             }
             let request = self.input.queue.at(entry.slot);
@@ -260,34 +268,36 @@
             let Some(instance) = instance else {
                 continue;
             };
-            let board = &self.boards[instance];
-            if board.free_slot(at).is_none() || board.pinned_run >= run_limit {
+            let forecast = &self.forecasts[instance];
+            if forecast.free_slot(at).is_none() || forecast.pinned_run >= run_limit {
                 continue;
             }
-            if !self.length_fits(request, instance, at) || self.is_key_held(request, at) {
+            if !self.length_fits(request, instance, at) || self.is_key_locked(request, at) {
                 continue;
             }
             let action = self.judge_start(request, instance, at, false);
             return Some(PlanCandidate {
                 entry: *entry,
-                account: 0,
+                virtual_time: 0,
                 action,
             });
         }
         None
     }
 
-    /// Chooses among requests that no transaction ties, on replicas first where these may serve.
-    fn choose_fresh(&mut self, at: ClockTime, overdue: bool) -> Option<PlanCandidate> {
-        self.choose_spilling(at, overdue, false)
-            .or_else(|| self.choose_spilling(at, overdue, true))
+    /// Chooses among requests outside of transactions. Reads that a replica may serve go to
+    /// replicas first.
+    fn choose_unpinned(&mut self, at: ClockTime, target_missed: bool) -> Option<PlanCandidate> {
+        self.choose_spilling(at, target_missed, false)
+            .or_else(|| self.choose_spilling(at, target_missed, true))
     }
 
-    /// Chooses urgent requests first, within bounds.
+    /// Chooses an urgent request, up to the limit of consecutive ones, then an ordinary one, then
+    /// an urgent one without that limit.
     fn choose_spilling(
         &mut self,
         at: ClockTime,
-        overdue: bool,
+        target_missed: bool,
         spill: bool,
     ) -> Option<PlanCandidate> {
         let primary = self.has_opening(EndpointRole::Primary, at);
@@ -298,7 +308,7 @@
             urgent,
             bounded,
             spill,
-            overdue,
+            target_missed,
             reads: replica || spill || (primary && !routing),
             writes: primary,
         };
@@ -307,15 +317,15 @@
             .or_else(|| self.choose_urgency(pass(true, false)))
     }
 
-    /// Says whether an endpoint of this role has a slot for fresh work.
+    /// Returns whether an endpoint of this role has a slot for a request outside of a transaction.
     fn has_opening(&self, role: EndpointRole, at: ClockTime) -> bool {
-        let records = self.input.endpoints.records().iter().zip(&self.boards);
-        let mut boards = records.filter(|(record, _)| record.state.role == role);
-        boards.any(|(_, board)| {
+        let records = self.input.endpoints.records().iter().zip(&self.forecasts);
+        let mut forecasts = records.filter(|(record, _)| record.state.role == role);
+        forecasts.any(|(_, forecast)| {
             let usable = role == EndpointRole::Primary
-                || board.held(at) < board.usable
-                || (board.trial && at == self.input.now);
-            usable && board.free_slot(at).is_some() && board.is_connected(at)
+                || forecast.held(at) < forecast.usable
+                || (forecast.trial && at == self.input.now);
+            usable && forecast.free_slot(at).is_some() && forecast.is_connected(at)
         })
     }
 
@@ -323,17 +333,17 @@
         let mut best: Option<PlanCandidate> = None;
         let queue = self.input.queue;
         for (place, customer) in queue.active().iter().copied().enumerate() {
-            let account = if self.input.switches.shares {
-                self.ledger.account(customer)
+            let virtual_time = if self.input.switches.shares {
+                self.fair_clock.virtual_time(customer)
             } else {
                 0
             };
-            if best.is_some_and(|candidate| candidate.account < account) {
+            if best.is_some_and(|candidate| candidate.virtual_time < virtual_time) {
                 continue;
             }
-            for lane in 0..LANES {
+            for lane in 0..LANE_COUNT {
                 let kind = LaneKind::from_index(lane);
-                if !pass.looks_at(kind) || (pass.spill && !self.may_spill(kind)) {
+                if !pass.includes_lane(kind) || (pass.spill && !self.may_spill(kind)) {
                     continue;
                 }
                 let entries = queue.customers()[customer].lane(lane);
@@ -341,11 +351,11 @@
                     continue;
                 }
                 let cursor = &mut self.cursors[place][lane];
-                while *cursor < entries.len() && self.taken[entries[*cursor].slot] {
+                while *cursor < entries.len() && self.planned[entries[*cursor].slot] {
                     *cursor += 1;
                 }
                 let entries = &entries[*cursor..];
-                let Some(candidate) = self.choose_in_lane(entries, account, pass) else {
+                let Some(candidate) = self.choose_in_lane(entries, virtual_time, pass) else {
                     continue;
                 };
                 if best.is_none_or(|other| goes_before(&candidate, &other)) {
@@ -356,34 +366,34 @@
         best
     }
 
-    /// Chooses among the entries of one lane, of which the first one isn't taken yet.
+    /// Chooses among the entries of one lane, the first of which isn't planned yet.
     fn choose_in_lane(
         &self,
         entries: &[LaneEntry],
-        account: u64,
+        virtual_time: u64,
         pass: ChoicePass,
     ) -> Option<PlanCandidate> {
-        let waiting = entries.iter().filter(|entry| !self.taken[entry.slot]);
+        let waiting = entries.iter().filter(|entry| !self.planned[entry.slot]);
         for entry in waiting.take(LOOK_AHEAD) {
             let request = self.input.queue.at(entry.slot);
-            if self.is_hopeless(request, pass.at) {
+            if self.cannot_meet_deadline(request, pass.at) {
                 return Some(PlanCandidate {
                     entry: *entry,
-                    account,
-                    action: PlanAction::Hopeless,
+                    virtual_time,
+                    action: PlanAction::CannotMeetDeadline,
                 });
             }
-            if self.is_overdue(request, pass.at) {
+            if self.cannot_meet_target(request, pass.at) {
                 return Some(PlanCandidate {
                     entry: *entry,
-                    account,
-                    action: PlanAction::Overdue,
+                    virtual_time,
+                    action: PlanAction::CannotMeetTarget,
                 });
             }
             if let Some(action) = self.place(request, pass) {
                 return Some(PlanCandidate {
                     entry: *entry,
-                    account,
+                    virtual_time,
                     action,
                 });
             }
@@ -392,7 +402,7 @@
     }
 
     /// Returns when the next statement may be sent for the slot that a request takes.
-    fn open_after(&self, request: &WaitingRequest, start: PlannedStart) -> ClockTime {
+    fn planned_next_send(&self, request: &WaitingRequest, start: PlannedStart) -> ClockTime {
         let end = start.at + start.expected;
         if self.input.excess == ExcessRule::Forbidden || request.lane.long {
             return end;
@@ -401,58 +411,59 @@
         end.before(record.round_trip)
     }
 
-    /// Notes that a write runs on a key, in place of one that has ended.
-    fn hold_key(&mut self, at: ClockTime, hold: WriteHold) {
-        match self.write_keys.iter_mut().find(|other| other.until <= at) {
+    /// Locks a key for a write, reusing the entry of a write that has ended.
+    fn lock_key(&mut self, at: ClockTime, hold: KeyLock) {
+        match self.key_locks.iter_mut().find(|other| other.until <= at) {
             Some(ended) => *ended = hold,
-            None => self.write_keys.push(hold),
+            None => self.key_locks.push(hold),
         }
     }
 
     fn apply(&mut self, candidate: PlanCandidate, at: ClockTime) {
         let request = self.input.queue.at(candidate.entry.slot);
-        self.taken[candidate.entry.slot] = true;
+        self.planned[candidate.entry.slot] = true;
         if request.lane.replica {
-            self.replica_reads = self.replica_reads.saturating_sub(1);
+            self.unplanned_replica_reads = self.unplanned_replica_reads.saturating_sub(1);
         }
         if !request.lane.urgent && request.pinned_to.is_none() {
-            self.ordinary_left = self.ordinary_left.saturating_sub(1);
+            self.unplanned_ordinary = self.unplanned_ordinary.saturating_sub(1);
         }
         let PlanAction::Start(start) = candidate.action else {
             return;
         };
-        let until = self.open_after(request, start);
+        let until = self.planned_next_send(request, start);
         let pinned = request.pinned_to.is_some();
-        let board = &mut self.boards[start.instance];
+        let forecast = &mut self.forecasts[start.instance];
         let opens = request.profile.step == RequestStep::Opens;
-        let run = SlotBoard {
+        let run = SlotForecast {
             free_at: until,
             long: request.lane.long,
         };
-        board.take(at, run);
+        forecast.take(at, run);
         if !pinned && !opens {
-            board.connect(at, at + start.expected);
+            forecast.connect(at, at + start.expected);
         }
-        board.pinned_run = if pinned { board.pinned_run + 1 } else { 0 };
+        forecast.pinned_run = if pinned { forecast.pinned_run + 1 } else { 0 };
         if start.trial {
-            board.trial = false;
+            forecast.trial = false;
         }
         if opens {
-            board.pin();
+            forecast.pin();
         }
         if !pinned {
-            let ordinary_waits = self.ordinary_left > 0;
-            let board = &mut self.boards[start.instance];
-            board.urgent_run = next_urgent_run(board.urgent_run, request.lane, ordinary_waits);
+            let ordinary_waits = self.unplanned_ordinary > 0;
+            let forecast = &mut self.forecasts[start.instance];
+            forecast.urgent_run =
+                next_urgent_run(forecast.urgent_run, request.lane, ordinary_waits);
         }
-        self.ledger.charge(request.customer, start.expected);
+        self.fair_clock.charge(request.customer, start.expected);
         if let Some(key) = write_key(request) {
-            self.hold_key(at, WriteHold { key, until });
+            self.lock_key(at, KeyLock { key, until });
         }
     }
 }
 
-/// Returns the number of urgent requests that went in a row while ordinary ones waited.
+/// Returns the number of consecutive urgent requests that were served while ordinary ones waited.
 pub(crate) fn next_urgent_run(run: u32, lane: LaneKind, ordinary_waits: bool) -> u32 {
     if lane.urgent && ordinary_waits {
         return run.saturating_add(1);
@@ -460,7 +471,8 @@
     0
 }
 
-/// Returns the key on which a request writes, made distinct between customers.
+/// Returns the key on which a request writes, hashed with the customer's index so that equal keys
+/// of different customers differ.
 pub(crate) fn write_key(request: &WaitingRequest) -> Option<u64> {
     if request.profile.access != AccessMode::Write {
         return None;
@@ -471,13 +483,13 @@
 }
 
 fn goes_before(candidate: &PlanCandidate, other: &PlanCandidate) -> bool {
-    (candidate.account, candidate.entry) < (other.account, other.entry)
+    (candidate.virtual_time, candidate.entry) < (other.virtual_time, other.entry)
 }
 
-fn running_keys(records: &[EndpointRecord], now: ClockTime) -> SmallVec<[WriteHold; 4]> {
+fn running_key_locks(records: &[EndpointRecord], now: ClockTime) -> SmallVec<[KeyLock; 4]> {
     let running = records.iter().flat_map(|record| &record.running);
     let holds = running.filter_map(|running| {
-        Some(WriteHold {
+        Some(KeyLock {
             key: running.write_key?,
             until: running.expected_end(now),
         })
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,20 +1,18 @@
-//! The queue of waiting requests: urgent first, then the least slack.
+//! Queue of the waiting requests of one group, ordered by urgency and then by least slack.
 //!
-//! # The load it answers
+//! # Problem
 //!
-//! More requests wait than slots are free, and they differ in urgency, in deadline and in length.
-//!
-//! # Without it
-//!
-//! First come, first served: an urgent request waits behind every ordinary one, and a request with
+//! More requests wait than slots are free, and they differ in urgency, deadline and length. Served
+//! first come first served, an urgent request waits behind every ordinary one, and a request with
 //! 50 ms left waits behind one with two seconds left.
 //!
-//! # Grounds for its figures
+//! # Approach
 //!
-//! Requests are ordered by the latest moment at which they may start, which is the deadline less
-//! the expected run. The deadline alone would leave a long job behind all short ones until it is
-//! too late for it. Three urgent requests go for each ordinary one while both wait: urgent work
-//! never waits for more than one ordinary run, and ordinary work keeps a quarter of the slots.
+//! Each customer's requests are kept in lanes. Within a lane they are ordered by least slack: by
+//! the latest time at which they can start, which is the deadline less the expected run. Ordering
+//! by the deadline alone would leave a long job behind all short ones until it is too late for it.
+//! While both wait, three urgent requests are served for each ordinary one: urgent work never waits
+//! for more than one ordinary run, and ordinary work keeps a quarter of the slots.
 
 use crate::ClockTime;
 use crate::RequestProfile;
@@ -25,33 +23,33 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Urgent requests that may go in a row while ordinary ones wait.
-pub(crate) const URGENT_RUN: u32 = 3;
+/// Maximum number of consecutive urgent requests while ordinary ones wait.
+pub(crate) const MAX_URGENT_RUN: u32 = 3;
 
-/// The number of lanes that a customer's waiting requests are kept in.
-pub(crate) const LANES: usize = 16;
+/// The number of lanes of each customer.
+pub(crate) const LANE_COUNT: usize = 16;
 
-/// Which of a customer's lanes a request waits in.
+/// The lane of a customer in which a request waits.
 ///
-/// Requests of one lane may use the same instances, but for session positions and ages, so that
-/// the head of a lane usually stands for all of it.
+/// Requests of one lane can use the same instances, apart from session positions and data ages, so
+/// the head of a lane is usually representative of the whole lane.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LaneKind {
-    /// Whether its requests can't meet their target any more, and go after all that still can.
-    pub(crate) overdue: bool,
-    /// Whether its requests go first.
+    /// Whether its requests can no longer meet their target, and are served after those that can.
+    pub(crate) target_missed: bool,
+    /// Whether its requests are urgent.
     pub(crate) urgent: bool,
     /// Whether its requests count as long.
     pub(crate) long: bool,
-    /// Whether a replica may serve its requests, now or very soon.
+    /// Whether a replica can serve its requests, now or within a few milliseconds.
     pub(crate) replica: bool,
 }
 
 impl LaneKind {
-    /// Returns the lane with an index below [`LANES`].
+    /// Returns the lane with an index below [`LANE_COUNT`].
     pub(crate) fn from_index(index: usize) -> Self {
         Self {
-            overdue: index & 8 != 0,
+            target_missed: index & 8 != 0,
             urgent: index & 4 != 0,
             long: index & 2 != 0,
             replica: index & 1 != 0,
@@ -62,74 +60,76 @@
     pub(crate) fn index(self) -> usize {
         let sort =
             usize::from(self.urgent) << 2 | usize::from(self.long) << 1 | usize::from(self.replica);
-        usize::from(self.overdue) << 3 | sort
+        usize::from(self.target_missed) << 3 | sort
     }
 }
 
 /// A waiting request.
 #[derive(Clone, Debug)]
 pub(crate) struct WaitingRequest {
-    /// What the leaseholder said of it.
+    /// The request as described by the leaseholder.
     pub(crate) profile: RequestProfile,
-    /// The index of its customer.
+    /// The index of the customer.
     pub(crate) customer: usize,
-    /// The index of its kind's estimate.
+    /// The index of the estimate of its kind.
     pub(crate) kind: usize,
-    /// Its lane.
+    /// The lane in which it waits.
     pub(crate) lane: LaneKind,
-    /// Its place in the lane: the latest useful start, later for hot callers.
+    /// The sort key within the lane: the latest useful start, plus the delay imposed by caller
+    /// pacing.
     pub(crate) order: ClockTime,
-    /// When it arrived.
+    /// The time of arrival.
     pub(crate) arrived: ClockTime,
-    /// Since when it waits as it does now: since its arrival, or since it became overdue.
-    pub(crate) ranked: ClockTime,
+    /// When the request got its present lane: at its arrival, or when it could no longer meet its
+    /// target.
+    pub(crate) ranked_at: ClockTime,
     /// The instance on which its transaction holds a connection.
     pub(crate) pinned_to: Option<InstanceName>,
-    /// By how much it was ordered later because its session or key is hot.
+    /// The delay imposed because its session or key exceeded its even share.
     pub(crate) delay: Duration,
-    /// How long it was to wait when it was first planned; none before that.
+    /// The wait that the first plan foresaw; `None` until the request has been planned.
     pub(crate) planned_wait: Option<Duration>,
-    /// How often it was dispatched before.
+    /// The number of previous dispatches.
     pub(crate) attempts: u32,
 }
 
 impl WaitingRequest {
-    /// Returns the moment that decides about its place: its target while it can meet it, then its
-    /// deadline.
+    /// Returns the time by which the request should end: its target while it can be met, otherwise
+    /// its deadline.
     pub(crate) fn due(&self) -> ClockTime {
-        let target = self.profile.target.filter(|_| !self.lane.overdue);
+        let target = self.profile.target.filter(|_| !self.lane.target_missed);
         target.map_or(self.profile.deadline, |target| {
             target.min(self.profile.deadline)
         })
     }
 }
 
-/// A request's place in its lane.
+/// The position of a request in its lane.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct LaneEntry {
-    /// The order within the lane.
+    /// The sort key.
     pub(crate) order: ClockTime,
-    /// Settles ties.
+    /// Breaks ties.
     pub(crate) ticket: RequestTicket,
-    /// Where the request is stored.
+    /// The index of the request in the slab.
     pub(crate) slot: usize,
 }
 
-/// One customer's lanes.
+/// The lanes of one customer.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CustomerQueue {
-    lanes: [Vec<LaneEntry>; LANES],
-    /// How many entries all lanes have.
+    lanes: [Vec<LaneEntry>; LANE_COUNT],
+    /// The number of entries in all lanes.
     waiting: usize,
 }
 
 impl CustomerQueue {
-    /// Returns one lane, in order.
+    /// Returns one lane in order.
     pub(crate) fn lane(&self, index: usize) -> &[LaneEntry] {
         &self.lanes[index]
     }
 
-    /// Returns how many of the customer's requests of one urgency wait.
+    /// Returns the number of waiting requests of one urgency.
     pub(crate) fn count(&self, urgent: bool) -> usize {
         let lanes = self.lanes.iter().enumerate();
         lanes
@@ -138,13 +138,13 @@
             .sum()
     }
 
-    /// Returns the last entry of one urgency, which would be served after all others.
+    /// Returns the entry of one urgency that would be served after all others.
     pub(crate) fn last(&self, urgent: bool) -> Option<LaneEntry> {
         let lanes = self.lanes.iter().enumerate();
         let lanes = lanes.map(|(index, lane)| (LaneKind::from_index(index), lane));
         lanes
             .filter(|(kind, _)| kind.urgent == urgent)
-            .filter_map(|(kind, lane)| Some((kind.overdue, *lane.last()?)))
+            .filter_map(|(kind, lane)| Some((kind.target_missed, *lane.last()?)))
             .max()
             .map(|(_, entry)| entry)
     }
@@ -154,18 +154,19 @@
     }
 }
 
-/// All waiting requests of a group.
+/// The waiting requests of a group.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WaitingQueue {
     slab: Vec<Option<WaitingRequest>>,
     free: Vec<usize>,
     by_ticket: HashMap<RequestTicket, usize>,
     customers: Vec<CustomerQueue>,
-    /// The customers of which something waits. A plan looks at these alone: with 350 customers, of
-    /// which three had requests, looking at all took most of a VM's processor.
+    /// The customers with waiting requests outside of transactions. A plan examines only these:
+    /// with 350 customers of which three had requests, examining all of them took most of a VM's
+    /// processor.
     active: Vec<usize>,
-    /// How many requests wait in each lane, over all customers.
-    lane_counts: [usize; LANES],
+    /// The number of waiting requests in each lane, over all customers.
+    lane_counts: [usize; LANE_COUNT],
     pinned: SmallVec<[LaneEntry; 4]>,
 }
 
@@ -182,52 +183,54 @@
         &self.customers
     }
 
-    /// Returns the customers of which something waits that no transaction ties, in no order.
+    /// Returns the customers with waiting requests outside of transactions, in no particular order.
     pub(crate) fn active(&self) -> &[usize] {
         &self.active
     }
 
-    /// Returns the statements of open transactions, in order.
+    /// Returns the waiting statements of open transactions, in order.
     pub(crate) fn pinned(&self) -> &[LaneEntry] {
         &self.pinned
     }
 
-    /// Returns the size of the store, an upper bound of every slot.
+    /// Returns the length of the slab, an upper bound of all indices into it.
     pub(crate) fn capacity(&self) -> usize {
         self.slab.len()
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of waiting requests.
     pub(crate) fn len(&self) -> usize {
         self.by_ticket.len()
     }
 
-    /// Says whether nothing waits.
+    /// Returns whether no request waits.
     pub(crate) fn is_empty(&self) -> bool {
         self.by_ticket.is_empty()
     }
 
-    /// Returns how many requests that no transaction ties wait in lanes of some sort.
+    /// Returns the number of waiting requests outside of transactions in the lanes that `counts`
+    /// accepts.
     pub(crate) fn count_lanes(&self, counts: impl Fn(LaneKind) -> bool) -> usize {
-        let lanes = (0..LANES).filter(|lane| counts(LaneKind::from_index(*lane)));
+        let lanes = (0..LANE_COUNT).filter(|lane| counts(LaneKind::from_index(*lane)));
         lanes.map(|lane| self.lane_counts[lane]).sum()
     }
 
-    /// Says whether nothing of a customer waits.
+    /// Returns whether a customer has no waiting request outside of a transaction.
     pub(crate) fn is_idle(&self, customer: usize) -> bool {
         self.customers[customer].is_empty()
     }
 
-    /// Says whether a request waits.
+    /// Returns whether a request waits.
     pub(crate) fn contains(&self, ticket: RequestTicket) -> bool {
         self.by_ticket.contains_key(&ticket)
     }
 
-    /// Returns the request stored in a slot.
+    /// Returns the request stored at an index of the slab.
     ///
     /// # Panics
     ///
-    /// Panics if the slot is empty; every [`LaneEntry`] in a lane names a full one.
+    /// Panics if the slab holds no request at `slot`; every [`LaneEntry`] in a lane names an
+    /// occupied one.
     pub(crate) fn at(&self, slot: usize) -> &WaitingRequest {
         match &self.slab[slot] {
             Some(request) => request,
@@ -235,14 +238,15 @@
         }
     }
 
-    /// Notes how long the request stored in a slot is to wait.
-    pub(crate) fn note_plan(&mut self, slot: usize, wait: Duration) {
+    /// Records the planned wait of the request at an index of the slab, unless one is recorded
+    /// already.
+    pub(crate) fn record_planned_wait(&mut self, slot: usize, wait: Duration) {
         if let Some(request) = &mut self.slab[slot] {
             request.planned_wait.get_or_insert(wait);
         }
     }
 
-    /// Returns the waiting requests in the order of their store.
+    /// Returns the waiting requests in the order of the slab.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &WaitingRequest> {
         self.slab.iter().flatten()
     }
@@ -265,7 +269,7 @@
         let lane = self.lane_mut(&request);
         let place = lane.partition_point(|other| *other < entry);
         lane.insert(place, entry);
-        self.count_in(&request);
+        self.count_insertion(&request);
         self.slab[slot] = Some(request);
     }
 
@@ -282,12 +286,12 @@
         let lane = self.lane_mut(&request);
         if let Ok(place) = lane.binary_search(&entry) {
             lane.remove(place);
-            self.count_out(&request);
+            self.count_removal(&request);
         }
         Some(request)
     }
 
-    fn count_in(&mut self, request: &WaitingRequest) {
+    fn count_insertion(&mut self, request: &WaitingRequest) {
         if matches!(request.profile.step, RequestStep::Within(_)) {
             return;
         }
@@ -299,7 +303,7 @@
         }
     }
 
-    fn count_out(&mut self, request: &WaitingRequest) {
+    fn count_removal(&mut self, request: &WaitingRequest) {
         if matches!(request.profile.step, RequestStep::Within(_)) {
             return;
         }
@@ -319,12 +323,12 @@
         }
     }
 
-    /// Puts a request behind all that can still meet their target.
-    pub(crate) fn make_overdue(&mut self, now: ClockTime, ticket: RequestTicket, order: ClockTime) {
+    /// Moves a request behind all that can still meet their target.
+    pub(crate) fn demote(&mut self, now: ClockTime, ticket: RequestTicket, order: ClockTime) {
         if let Some(mut request) = self.remove(ticket) {
-            request.lane.overdue = true;
+            request.lane.target_missed = true;
             request.order = order;
-            request.ranked = now;
+            request.ranked_at = now;
             request.planned_wait = None;
             self.insert(request);
         }
@@ -334,24 +338,24 @@
         match request.profile.step {
             RequestStep::Within(_) => LaneRef::Pinned(&mut self.pinned),
             RequestStep::Single | RequestStep::Opens => {
-                LaneRef::Fresh(&mut self.customers[request.customer].lanes[request.lane.index()])
+                LaneRef::Unpinned(&mut self.customers[request.customer].lanes[request.lane.index()])
             }
         }
     }
 }
 
-/// A lane for changing.
+/// A mutable lane.
 enum LaneRef<'a> {
-    /// Of a customer's requests that no transaction ties to an instance.
-    Fresh(&'a mut Vec<LaneEntry>),
-    /// Of the statements of open transactions.
+    /// Requests of a customer outside of transactions.
+    Unpinned(&'a mut Vec<LaneEntry>),
+    /// Statements of open transactions.
     Pinned(&'a mut SmallVec<[LaneEntry; 4]>),
 }
 
 impl LaneRef<'_> {
     fn as_slice(&self) -> &[LaneEntry] {
         match self {
-            Self::Fresh(lane) => lane,
+            Self::Unpinned(lane) => lane,
             Self::Pinned(lane) => lane,
         }
     }
@@ -366,14 +370,14 @@
 
     fn insert(self, place: usize, entry: LaneEntry) {
         match self {
-            Self::Fresh(lane) => lane.insert(place, entry),
+            Self::Unpinned(lane) => lane.insert(place, entry),
             Self::Pinned(lane) => lane.insert(place, entry),
         }
     }
 
     fn remove(self, place: usize) {
         match self {
-            Self::Fresh(lane) => {
+            Self::Unpinned(lane) => {
                 lane.remove(place);
             }
             Self::Pinned(lane) => {
--- a/crates/policy/src/relayed_announcements.rs
+++ b/crates/policy/src/relayed_announcements.rs
@@ -1,18 +1,17 @@
-//! Which announcements of endpoints are passed on to standbys.
+//! Suppression of repeated endpoint announcements to standbys.
 //!
-//! # The load it answers
+//! # Problem
 //!
-//! A thousand endpoints announce themselves each second, to any VM, and nearly always say the same again.
+//! A thousand endpoints announce themselves each second to any VM, and nearly always repeat the
+//! same state. If each announcement were relayed to a leaseholder and two standbys, the calls to
+//! standbys, which need it only when they take the group over, would cost control VMs as much as
+//! all requests of callers.
 //!
-//! # Without it
+//! # Approach
 //!
-//! Each announcement is passed on to a leaseholder and two standbys. The calls to standbys, which need it
-//! only when they take the group over, cost control VMs as much as all that callers ask.
-//!
-//! # Grounds for its figures
-//!
-//! A standby forgets an endpoint that it hasn't heard for a given time. It hears the same again after half
-//! of that, so that one lost call makes it forget nobody.
+//! A standby drops an endpoint that wasn't announced for a given time. A changed announcement is
+//! relayed at once, an unchanged one after half of that time, so that one lost call doesn't make a
+//! standby drop an endpoint.
 
 use ragwort_types::ClockTime;
 use ragwort_types::EndpointAnnouncement;
@@ -23,31 +22,31 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// What was passed on last, by standby and endpoint.
+/// The announcements relayed last, by standby and endpoint.
 #[derive(Debug)]
 pub struct RelayedAnnouncements {
     lost_after: Duration,
-    passed: HashMap<(VmName, InstanceName), PassedAnnouncement>,
-    pruned: ClockTime,
+    relayed: HashMap<(VmName, InstanceName), RelayedAnnouncement>,
+    last_pruned: ClockTime,
 }
 
 #[derive(Debug)]
-struct PassedAnnouncement {
+struct RelayedAnnouncement {
     content: EndpointAnnouncement,
     at: ClockTime,
 }
 
 impl RelayedAnnouncements {
-    /// Creates an empty memory for standbys that forget an endpoint after `lost_after`.
+    /// Creates an empty record for standbys that drop an endpoint after `lost_after`.
     pub fn new(lost_after: Duration) -> Self {
         Self {
             lost_after,
-            passed: HashMap::new(),
-            pruned: ClockTime::default(),
+            relayed: HashMap::new(),
+            last_pruned: ClockTime::default(),
         }
     }
 
-    /// Says whether a standby is to hear this announcement; if so it is taken as passed on.
+    /// Returns whether to relay this announcement to a standby; if so, records it as relayed.
     pub fn is_due(
         &mut self,
         now: ClockTime,
@@ -55,32 +54,33 @@
         announcement: &EndpointAnnouncement,
     ) -> bool {
         self.prune(now);
-        let content = strip_changing(announcement);
+        let content = strip_volatile(announcement);
         let key = (standby.clone(), announcement.instance.clone());
-        if let Some(passed) = self.passed.get(&key)
-            && passed.content == content
-            && now.since(passed.at) < self.lost_after / 2
+        if let Some(relayed) = self.relayed.get(&key)
+            && relayed.content == content
+            && now.since(relayed.at) < self.lost_after / 2
         {
             return false;
         }
-        self.passed
-            .insert(key, PassedAnnouncement { content, at: now });
+        self.relayed
+            .insert(key, RelayedAnnouncement { content, at: now });
         true
     }
 
-    /// Forgets endpoints that announce themselves no more, or elsewhere.
+    /// Drops endpoints that no longer announce themselves here.
     fn prune(&mut self, now: ClockTime) {
-        if now.since(self.pruned) < self.lost_after {
+        if now.since(self.last_pruned) < self.lost_after {
             return;
         }
-        self.pruned = now;
+        self.last_pruned = now;
         let lost = self.lost_after;
-        self.passed.retain(|_, passed| now.since(passed.at) < lost);
+        self.relayed
+            .retain(|_, relayed| now.since(relayed.at) < lost);
     }
 }
 
-/// Returns an announcement without what changes each time.
-fn strip_changing(announcement: &EndpointAnnouncement) -> EndpointAnnouncement {
+/// Returns an announcement without the fields that change each time.
+fn strip_volatile(announcement: &EndpointAnnouncement) -> EndpointAnnouncement {
     EndpointAnnouncement {
         sequence: 0,
         status: InstanceStatus {
