--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -1,4 +1,4 @@
-//! What the scheduler is told of a request, and what it decides about it.
+//! Requests and endpoints as described to the scheduler, and the decisions that it returns.
 
 use crate::ClockTime;
 use ragwort_types::AccessMode;
@@ -16,53 +16,54 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// Names one request within one scheduler; chosen by the caller of the scheduler, never reused.
+/// Identifies one request within one scheduler; chosen by the caller of the scheduler and never
+/// reused.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct RequestTicket(pub u64);
 
-/// All that the scheduler knows of a request.
+/// The properties of a request that the scheduler decides by.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestProfile {
-    /// The request's name.
+    /// The identifier of the request.
     pub ticket: RequestTicket,
-    /// Who pays for it.
+    /// The customer that is charged for it.
     pub customer: CustomerName,
-    /// Its kind, by which its duration is predicted.
+    /// Its kind, by which its run time is estimated.
     pub kind: KindName,
     /// A hash of the caller's session.
     pub session: u64,
-    /// A digest of the account for whose callers a connection must be open, where they aren't the same
-    /// for all.
+    /// A digest of the account whose callers must have a connection of their own; `None` where
+    /// connections aren't bound to accounts.
     pub account: Option<u64>,
-    /// A hash of the record that the request is about, where the caller names one.
+    /// A hash of the record that the request concerns, if the caller names one.
     pub key: Option<u64>,
     /// Whether it reads or writes.
     pub access: AccessMode,
     /// Whether it may run again.
     pub repeat: RepeatRule,
-    /// Whether it goes before ordinary work.
+    /// Whether it is served before ordinary requests.
     pub urgency: UrgencyClass,
-    /// Whether the contract calls it short or long.
+    /// The length class that the contract declares.
     pub length: LengthClass,
-    /// Whether only the primary may serve it, whatever its age bound says.
+    /// Whether only the primary may serve it, whatever its maximum age.
     pub needs_primary: bool,
-    /// What an instance must hold to serve it: the session's last write.
+    /// The log position that an instance must have applied to serve it: the session's last write.
     pub min_position: LogPosition,
-    /// The age that its data may have; zero means that only the primary may serve it.
+    /// The maximum age of the data that it reads; zero means that only the primary may serve it.
     pub max_age: Duration,
-    /// When the caller needs the answer.
+    /// The time by which the caller needs the answer.
     pub deadline: ClockTime,
-    /// Until when the answer is worth most to the caller, if that is earlier.
+    /// An earlier time by which the answer is most useful to the caller.
     pub target: Option<ClockTime>,
-    /// How it belongs to a transaction.
+    /// Its relation to a transaction.
     pub step: RequestStep,
 }
 
 impl RequestProfile {
-    /// Says whether the contract lets a replica serve the request at all.
+    /// Returns whether the contract lets a replica serve the request.
     pub fn allows_replica(&self) -> bool {
         self.access == AccessMode::Read
             && !self.needs_primary
@@ -71,29 +72,30 @@
     }
 }
 
-/// How a request belongs to a transaction.
+/// The relation of a request to a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestStep {
-    /// It stands alone; its connection is free when it ends.
+    /// The request is outside of a transaction; its connection is free when it ends.
     Single,
-    /// It opens a transaction, which holds the connection until
+    /// The request opens a transaction, which holds the connection until
     /// [`GroupScheduler::unpin`](crate::GroupScheduler::unpin) is called with this request's
     /// ticket.
     Opens,
-    /// It runs on the connection that the request with this ticket opened.
+    /// The request runs on the connection that is held by the transaction that this ticket's
+    /// request opened.
     Within(RequestTicket),
 }
 
-/// What the scheduler needs of a customer's contract.
+/// The terms of a customer's contract that the scheduler needs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CustomerTerms {
     /// The customer.
     pub customer: CustomerName,
-    /// The customer's weight when slots are scarce, relative to other customers.
+    /// The customer's weight, relative to other customers, when slots are scarce.
     pub slot_share: u32,
-    /// The most requests that may wait at once.
+    /// Maximum number of its requests that wait at the same time.
     pub queue_limit: u32,
-    /// The most connections that the customer's transactions may pin at once.
+    /// Maximum number of connections that its transactions hold at the same time.
     pub connection_limit: u32,
 }
 
@@ -108,40 +110,40 @@
     }
 }
 
-/// What an endpoint may be used for.
+/// The work that an endpoint accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointRole {
-    /// It takes writes, and reads of any age.
+    /// Writes, and reads of any maximum age.
     Primary,
-    /// It takes reads that its position and age allow.
+    /// Reads that its position and data age allow.
     Replica,
-    /// It takes nothing: unreachable, fenced, or not yet known.
+    /// None: the endpoint is unreachable, fenced or not yet known.
     Unusable,
 }
 
-/// An endpoint as the leaseholder sees it.
+/// The state of an endpoint as seen by the leaseholder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointState {
     /// The instance.
     pub instance: InstanceName,
     /// Its failure domain.
     pub domain: DomainName,
-    /// How many statements it runs at once.
+    /// The number of statements that it runs concurrently.
     pub slots: u32,
-    /// How many connections it takes.
+    /// The number of connections that it accepts.
     pub connections: u32,
-    /// What it may be used for.
+    /// The work that it accepts.
     pub role: EndpointRole,
     /// Whether it wants no new work; open transactions may end on it.
     pub leaving: bool,
 }
 
-/// What becomes of a request when it arrives.
+/// The decision about a request that arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ArrivalDecision {
-    /// It waits; a later [`SchedulerDecision`] settles it.
+    /// The request waits; a later [`SchedulerDecision`] settles it.
     Queued,
-    /// It was not taken. This answer is final.
+    /// The request was not admitted. This answer is final.
     Refused(Refusal),
 }
 
@@ -163,56 +165,58 @@
 pub struct DispatchOrder {
     /// The request.
     pub ticket: RequestTicket,
-    /// Where it goes.
+    /// The instance that it is sent to.
     pub instance: InstanceName,
 }
 
-/// A request that is given up on.
+/// A waiting request that is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RefusalOrder {
     /// The request.
     pub ticket: RequestTicket,
-    /// Why, and when to come back.
+    /// The cause, and when to retry.
     pub refusal: Refusal,
 }
 
 /// How a dispatched request ended at its instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinishOutcome {
-    /// The instance answered, be it with rows or with an error of its own.
+    /// The instance answered with a result or with an error of its own.
     Answered,
-    /// The instance says that it did not run.
+    /// The instance reported that the request did not run.
     NotRun,
-    /// The instance lacked what the request must see, and did not run it. It was sent there by a guess of
-    /// ours: that counts as an attempt, but not against the retry budget, which is for failures.
+    /// The instance hadn't applied the position that the request must see, and did not run it. The
+    /// scheduler sent it there on an estimate: that counts as an attempt, but not against the retry
+    /// budget, which is for failures.
     Behind,
-    /// Its connection was found dead before a byte was sent, and is closed. This is no work for the
-    /// instance, so it counts neither as an attempt nor against the retry budget.
+    /// Its connection was found dead before a byte was sent, and is closed. The instance did no
+    /// work for it, so this counts neither as an attempt nor against the retry budget.
     NotSent,
     /// The request was sent and its outcome is unknown.
     Lost,
 }
 
-/// What becomes of a request that has ended.
+/// The decision about a request that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinishDecision {
-    /// It is settled: answer the caller with what the instance said, or that it may have run.
+    /// The request is settled: return the instance's answer to the caller, or that the request may
+    /// have run.
     Settled,
-    /// It waits again, under the same ticket; a later decision settles it.
+    /// The request waits again under the same ticket; a later decision settles it.
     Requeued,
-    /// It did not run and is not tried again. This answer is final.
+    /// The request did not run and isn't retried. This answer is final.
     Refused(Refusal),
-    /// No request of this ticket is running.
+    /// No request with this ticket is running.
     Unknown,
 }
 
-/// What became of a request whose caller has gone.
+/// The effect of dropping a request whose caller has gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AbandonEffect {
-    /// It waited and is forgotten; no decision about it follows.
+    /// The request was waiting and is dropped; no decision about it follows.
     Removed,
-    /// It runs; its slot stays held until its end is reported.
+    /// The request is running; its slot stays held until its end is reported.
     Running,
-    /// No such request is known.
+    /// No request with this ticket is known.
     Unknown,
 }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,36 +1,36 @@
-//! The retry budget.
+//! Retry budget: a token bucket that bounds retries by the rate of new requests.
 //!
-//! # The load it answers
+//! # Problem
 //!
-//! An endpoint refuses or loses statements, and each of them may be tried elsewhere.
+//! An endpoint refuses or loses statements, and each of them may be retried elsewhere. When an
+//! endpoint fails under load and every failed statement is retried, the others get up to twice
+//! their work at the moment when they have a third more already.
 //!
-//! # Without it
+//! # Approach
 //!
-//! When an endpoint fails under load, every failed statement comes again: the others get up to
-//! twice their work at the moment when they have a third more already.
+//! Retries are limited to a tenth of the new requests, so that a group that runs at nine tenths of
+//! its capacity stays below it. Up to ten retries can be saved, which covers one lost connection of
+//! each endpoint at once. A replica that turns out to be behind doesn't count as a failure: at a
+//! few reads a second, each tried at two such replicas, the budget would be used up, and reads
+//! would be refused that the primary has the time to serve. The maximum number of dispatches holds
+//! for them too.
 //!
-//! # Grounds for its figures
-//!
-//! A tenth of fresh work: a group that runs at nine tenths of what it can do stays below it.
-//! Up to ten retries may be saved up, so that one lost connection of each endpoint is covered
-//! without waiting. A replica that turns out to be behind is no failure: at a few reads a second,
-//! each tried at two such replicas, the budget would be used up, and reads refused that the primary has
-//! the time to serve. The limit of dispatches holds for them too. Only what did not run, or may run again, is retried, on a connection that no
-//! transaction holds, and only if it can still meet its deadline.
+//! A request is retried only if it didn't run, or may run again, outside of transactions, and only
+//! if it can still meet its deadline.
 
 use crate::FinishOutcome;
 use ragwort_types::RepeatRule;
 
-/// Fresh requests that earn one retry.
-const FRESH_PER_RETRY: u32 = 10;
+/// Number of new requests that earn one retry.
+const REQUESTS_PER_RETRY: u32 = 10;
 
-/// The most retries that can be saved up.
-const SAVED_RETRIES: u32 = 10;
+/// Maximum number of saved retries.
+const MAX_SAVED_RETRIES: u32 = 10;
 
-/// How often one request is dispatched at most.
-const DISPATCH_LIMIT: u32 = 3;
+/// Maximum number of dispatches of one request.
+const MAX_DISPATCHES: u32 = 3;
 
-/// The retries that a group may still make, counted in tenths.
+/// The remaining retries of a group, in tenths of a retry.
 #[derive(Clone, Debug)]
 pub(crate) struct RetryBudget {
     tenths: u32,
@@ -39,35 +39,35 @@
 impl Default for RetryBudget {
     fn default() -> Self {
         Self {
-            tenths: SAVED_RETRIES * FRESH_PER_RETRY,
+            tenths: MAX_SAVED_RETRIES * REQUESTS_PER_RETRY,
         }
     }
 }
 
 impl RetryBudget {
-    /// Notes a fresh request.
+    /// Earns a tenth of a retry for a new request.
     pub(crate) fn earn(&mut self) {
-        self.tenths = (self.tenths + 1).min(SAVED_RETRIES * FRESH_PER_RETRY);
+        self.tenths = (self.tenths + 1).min(MAX_SAVED_RETRIES * REQUESTS_PER_RETRY);
     }
 
-    /// Takes one retry from the budget, if there is one.
+    /// Takes one retry from the budget; returns false if there is none.
     pub(crate) fn spend(&mut self) -> bool {
-        if self.tenths < FRESH_PER_RETRY {
+        if self.tenths < REQUESTS_PER_RETRY {
             return false;
         }
-        self.tenths -= FRESH_PER_RETRY;
+        self.tenths -= REQUESTS_PER_RETRY;
         true
     }
 
-    /// Returns how many retries are left.
+    /// Returns the number of whole retries left.
     pub(crate) fn left(&self) -> u32 {
-        self.tenths / FRESH_PER_RETRY
+        self.tenths / REQUESTS_PER_RETRY
     }
 }
 
-/// Says whether a request may be dispatched again after it ended like this.
+/// Returns whether a request may be dispatched again after it ended with `outcome`.
 pub(crate) fn may_repeat(outcome: FinishOutcome, repeat: RepeatRule, attempts: u32) -> bool {
-    if attempts >= DISPATCH_LIMIT {
+    if attempts >= MAX_DISPATCHES {
         return false;
     }
     match outcome {
--- a/crates/policy/src/routing.rs
+++ b/crates/policy/src/routing.rs
@@ -1,56 +1,56 @@
-//! Routing: which of the instances that may serve a request does.
+//! Routing: which instances may serve a request, and which of them does.
 //!
-//! # The load it answers
+//! # Problem
 //!
 //! Most reads accept data of some age, so several instances may serve them; writes and fresh reads
-//! have only the primary.
+//! need the primary. If reads were spread evenly over all instances, they would take a third of the
+//! primary's slots, and writes would wait behind them. If each read were bound to one instance, it
+//! would wait there while another instance has a free slot.
 //!
-//! # Without it
+//! # Approach
 //!
-//! Reads spread evenly over all instances take a third of the primary's slots, and writes wait
-//! behind them; or a read waits for one instance while another has a free slot.
+//! A replica may serve a read only if it has applied the session's last write and its data is no
+//! older than the contract allows. Among the instances with a free slot, the read goes where it is
+//! expected to end first: the expected run time, times the instance's slowdown, plus the round
+//! trip.
 //!
-//! # Grounds for its figures
-//!
-//! A replica may serve a read if it holds the session's last write and its data is no older than
-//! the contract allows; nothing overrides that. Among the instances with a free slot, the read goes
-//! where it is expected to end first: the expected run, times the instance's slowdown, plus the way
-//! there and back. A read that a replica may serve is given to the primary only when nothing that
-//! needs the primary waits and more than two reads wait for each of the replicas' slots: below
-//! that, a read waits for two short runs at most. A session's read waits for a replica that still
-//! lacks its write only if that is expected within 3 ms, which is less than a short run.
+//! A read that a replica may serve goes to the primary only when nothing that needs the primary
+//! waits and more than two reads wait for each of the replicas' slots. Below that, a read waits for
+//! two short runs at most. A read waits for a replica that still lacks its session's write only if
+//! that is expected to arrive within 3 ms, which is less than a short run.
 
 use crate::ClockTime;
 use crate::EndpointRole;
 use crate::RequestProfile;
-use crate::board::is_standing;
 use crate::endpoints::EndpointRecord;
+use crate::forecast::is_in_rotation;
 use std::time::Duration;
 
-/// A read waits this long for a replica to catch up before it takes a free slot of the primary.
-const CATCH_UP_WAIT: Duration = Duration::from_millis(3);
+/// Maximum time for which a read waits for a replica to catch up rather than use a free slot of the
+/// primary.
+const MAX_CATCH_UP_WAIT: Duration = Duration::from_millis(3);
 
-/// How an instance stands to a request.
+/// Whether an instance may serve a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ServingFitness {
-    /// It may serve the request now.
+    /// The instance may serve the request now.
     Ready,
-    /// It is expected to be allowed from this moment on.
+    /// The instance is expected to be allowed to serve the request from this time on.
     ReadyAt(ClockTime),
-    /// It may not serve the request.
+    /// The instance may not serve the request.
     Unfit,
 }
 
-/// Says whether an instance may serve a request that no transaction ties to an instance.
+/// Decides whether an instance may serve a request outside of a transaction.
 ///
-/// This is the only place that lets a read go to a replica. If it erred, a caller would miss its
-/// own write, or see data older than its contract allows.
+/// This is the only function that allows a replica to serve a read. An error here would let a
+/// caller miss its own write, or see data older than its contract allows.
 pub(crate) fn judge_fitness(
     record: &EndpointRecord,
     profile: &RequestProfile,
     now: ClockTime,
 ) -> ServingFitness {
-    if !record.takes_fresh_work() {
+    if !record.accepts_unpinned() {
         return ServingFitness::Unfit;
     }
     match record.state.role {
@@ -80,7 +80,8 @@
     ServingFitness::ReadyAt(now + age)
 }
 
-/// Says whether a replica that gets ordinary work may serve a request now or very soon.
+/// Returns whether a replica that gets regular work may serve a request now or within
+/// [`MAX_CATCH_UP_WAIT`].
 pub(crate) fn has_replica_soon(
     records: &[EndpointRecord],
     profile: &RequestProfile,
@@ -90,10 +91,10 @@
     let replicas = records
         .iter()
         .filter(|record| record.state.role == EndpointRole::Replica);
-    let mut standing = replicas.filter(|record| is_standing(record) || !health);
+    let mut standing = replicas.filter(|record| is_in_rotation(record) || !health);
     standing.any(|record| match judge_fitness(record, profile, now) {
         ServingFitness::Ready => true,
-        ServingFitness::ReadyAt(moment) => moment <= now + CATCH_UP_WAIT,
+        ServingFitness::ReadyAt(moment) => moment <= now + MAX_CATCH_UP_WAIT,
         ServingFitness::Unfit => false,
     })
 }
--- a/crates/policy/src/runs.rs
+++ b/crates/policy/src/runs.rs
@@ -1,4 +1,4 @@
-//! How a scheduler starts and ends runs, and what it learns from them.
+//! Start and end of runs on endpoints, and the estimates that are updated from them.
 
 use crate::ClockTime;
 use crate::DispatchOrder;
@@ -29,11 +29,12 @@
 use ragwort_types::InstanceName;
 use std::time::Duration;
 
-/// A trial is compared with what peers did within this time.
+/// A trial is compared with the runs of peers that started within this time.
 const TRIAL_COMPARISON: Duration = Duration::from_secs(1);
 
 impl GroupScheduler {
-    /// Counts runs that have outlasted the limit as long, whatever their kind promised.
+    /// Marks runs that have lasted longer than [`LONG_THRESHOLD`] as long, whatever their kind
+    /// says.
     pub(crate) fn mark_long_runs(&mut self, now: ClockTime) {
         for record in self.endpoints.records_mut() {
             for running in &mut record.running {
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Compares the endpoints and adjusts how much work each gets.
+    /// Compares the endpoints with each other and adjusts how much work each gets.
     pub(crate) fn judge_health(&mut self, now: ClockTime) {
         if !self.settings.modules.health {
             return;
@@ -52,12 +53,12 @@
                 continue;
             };
             let record = &mut self.endpoints.records_mut()[index];
-            let held = record.held_ratio(now);
+            let held = record.stall_ratio(now);
             record.health.judge(now, best, held);
         }
     }
 
-    /// Opens connections ahead of need.
+    /// Requests connections ahead of need.
     pub(crate) fn open_connections(
         &mut self,
         now: ClockTime,
@@ -79,8 +80,8 @@
         }
     }
 
-    /// Returns how many of an endpoint's connections can be closed: no load of the last seconds has
-    /// needed them.
+    /// Returns how many of an endpoint's connections can be closed, because no load of the last
+    /// seconds has needed them.
     pub fn surplus_connections(&self, instance: &InstanceName) -> u32 {
         let Some(record) = self.endpoints.get(instance) else {
             return 0;
@@ -90,7 +91,7 @@
         surplus_connections(record, need, &self.allowance)
     }
 
-    /// Counts the waiting requests, and those of them that will open a transaction.
+    /// Returns the number of waiting requests, and of those among them that open a transaction.
     fn count_waiting(&self) -> (u32, u32) {
         let openers = self.queue.iter();
         let openers = openers.filter(|request| request.profile.step == RequestStep::Opens);
@@ -99,7 +100,7 @@
         (waiting.unwrap_or(u32::MAX), openers.unwrap_or(u32::MAX))
     }
 
-    /// Frees the slot of a request that has ended, and learns from its run.
+    /// Frees the slot of a request that has ended, and updates estimates and health from its run.
     pub(crate) fn release_slot(
         &mut self,
         now: ClockTime,
@@ -116,7 +117,8 @@
         };
         let actual = now.since(running.started);
         let run = running.run_until(now, record.round_trip);
-        self.ledger.correct(customer, dispatched.charged, actual);
+        self.fair_clock
+            .correct(customer, dispatched.charged, actual);
         self.customers.get_mut(customer).slot_micros += to_micros(actual);
         if outcome == FinishOutcome::Answered {
             self.learn_run(now, dispatched, run);
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Says whether a request that ended without an answer goes back into the queue.
+    /// Returns whether a request that ended without an answer goes back into the queue.
     pub(crate) fn may_retry(
         &mut self,
         now: ClockTime,
@@ -162,12 +164,12 @@
         request.attempts += 1;
         if let Some(planned) = request.planned_wait {
             let customer = self.customers.get_mut(request.customer);
-            let actual = now.since(request.ranked);
-            customer.stretch_mut(&request).learn(planned, actual);
+            let actual = now.since(request.ranked_at);
+            customer.wait_factor_mut(&request).learn(planned, actual);
         }
         let estimate = self.estimates.get(request.kind);
         let ordinary_waits = self.queue.count_lanes(|lane| !lane.urgent) > 0;
-        self.ledger.charge(request.customer, start.expected);
+        self.fair_clock.charge(request.customer, start.expected);
         self.count_dispatch(now, &request, start);
         let record = &mut self.endpoints.records_mut()[start.instance];
         let ahead = sent_ahead(record, self.settings.excess);
@@ -183,7 +185,7 @@
             ticket,
             started: now,
             expected: start.expected,
-            behind: (sent + 1).saturating_sub(record.state.slots),
+            predecessors: (sent + 1).saturating_sub(record.state.slots),
             slot_since: now,
             long: request.lane.long,
             write_key: write_key(&request),
@@ -203,9 +205,9 @@
         let dispatched = DispatchedRequest {
             request,
             instance: instance.clone(),
-            base: estimate.expected(),
+            expected_run: estimate.expected(),
             charged: start.expected,
-            mature: estimate.is_mature(),
+            estimate_mature: estimate.is_mature(),
             abandoned: false,
         };
         self.running.insert(ticket, dispatched);
@@ -233,8 +235,8 @@
         let best = self.best_score(now, index, since).unwrap_or(1.0);
         let record = &mut self.endpoints.records_mut()[index];
         let healthy = record.health.level() == HealthLevel::Full;
-        if dispatched.mature || !healthy {
-            let ratio = run.as_secs_f64() / dispatched.base.as_secs_f64().max(1e-6);
+        if dispatched.estimate_mature || !healthy {
+            let ratio = run.as_secs_f64() / dispatched.expected_run.as_secs_f64().max(1e-6);
             let ticket = dispatched.request.profile.ticket;
             let started = now.before(run);
             let sample = RunSample { started, ratio };
@@ -246,21 +248,22 @@
         }
     }
 
-    /// Returns the score of the fastest other endpoint since the runs by which this one is judged.
+    /// Returns the score of the fastest other endpoint since the start of the runs by which this
+    /// one is judged.
     fn best_peer(&self, now: ClockTime, index: usize) -> Option<f64> {
         let record = &self.endpoints.records()[index];
-        let held = record.held_since(now);
+        let held = record.stalled_since(now);
         let since = held.or_else(|| record.health.judged_since())?;
         self.best_score(now, index, since)
     }
 
-    /// Returns the score of the fastest other endpoint over runs that started since a moment.
+    /// Returns the score of the fastest other endpoint over runs that started at `since` or later.
     fn best_score(&self, now: ClockTime, index: usize, since: ClockTime) -> Option<f64> {
         let records = self.endpoints.records().iter().enumerate();
-        let peers = records.filter(|(peer, record)| *peer != index && record.takes_fresh_work());
+        let peers = records.filter(|(peer, record)| *peer != index && record.accepts_unpinned());
         let scores = peers.filter_map(|(_, record)| {
             let score = record.health.score_since(since)?;
-            Some(score.max(record.held_ratio(now).unwrap_or(score)))
+            Some(score.max(record.stall_ratio(now).unwrap_or(score)))
         });
         scores.min_by(f64::total_cmp).map(|score| score.max(1.0))
     }
@@ -273,7 +276,7 @@
     openers: u32,
 ) -> ConnectionNeed {
     ConnectionNeed {
-        sent: record.state.slots + sent_ahead(record, excess),
+        max_in_flight: record.state.slots + sent_ahead(record, excess),
         waiting,
         openers: match record.state.role {
             EndpointRole::Primary => openers,
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler of one database group: events in, decisions out.
+//! Event-driven scheduler of one database group.
 
 use crate::AbandonEffect;
 use crate::ArrivalDecision;
@@ -15,7 +15,7 @@
 use crate::SchedulerDecision;
 use crate::SchedulerSettings;
 use crate::SchedulerSnapshot;
-use crate::admission::ReturnPlanner;
+use crate::admission::RetryAfterPlanner;
 use crate::connections::ConnectionAllowance;
 use crate::connections::FAILED_OPEN_PAUSE;
 use crate::customers::CustomerTable;
@@ -24,24 +24,24 @@
 use crate::queue::WaitingQueue;
 use crate::queue::WaitingRequest;
 use crate::retry::RetryBudget;
-use crate::shares::ShareLedger;
-use crate::steps::REVIEW_GAP;
+use crate::shares::FairClock;
+use crate::steps::REVIEW_INTERVAL;
 use ragwort_types::InstanceName;
 use ragwort_types::LogPosition;
 use ragwort_types::RefusalCause;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How long a transaction is assumed to hold a connection before one was seen.
+/// The assumed time for which a transaction holds a connection, before one was measured.
 const PIN_HOLD_PRIOR: Duration = Duration::from_millis(50);
 
-/// The mean run of all kinds before one was seen.
+/// The assumed mean run time over all kinds, before one was measured.
 const MEAN_RUN_PRIOR: Duration = Duration::from_millis(8);
 
-/// Decides about every request of one database group.
+/// Admits, orders, places and refuses the requests of one database group.
 ///
-/// All events carry the present moment. [`poll`](Self::poll) must be called after each event, and
-/// again at [`next_wakeup`](Self::next_wakeup); its decisions must be carried out in order.
+/// All events carry the present time. [`poll`](Self::poll) must be called after each event and
+/// again at [`next_wakeup`](Self::next_wakeup). Its decisions must be carried out in order.
 #[derive(Clone, Debug)]
 pub struct GroupScheduler {
     pub(crate) settings: SchedulerSettings,
@@ -49,19 +49,20 @@
     pub(crate) endpoints: EndpointTable,
     pub(crate) queue: WaitingQueue,
     pub(crate) estimates: EstimateTable,
-    pub(crate) ledger: ShareLedger,
+    pub(crate) fair_clock: FairClock,
     pub(crate) retries: RetryBudget,
     pub(crate) counts: SchedulerCounts,
     pub(crate) running: HashMap<RequestTicket, DispatchedRequest>,
-    pub(crate) returns: ReturnPlanner,
+    pub(crate) retry_after: RetryAfterPlanner,
     pub(crate) next_review: ClockTime,
-    pub(crate) primary_lost: Option<ClockTime>,
-    /// When a primary is expected, where that is known.
+    pub(crate) primary_lost_at: Option<ClockTime>,
+    /// When a primary is expected, if that is known.
     pub(crate) primary_due: Option<ClockTime>,
-    /// What the VM may hold in all.
+    /// The connections that the VM may hold over all its groups.
     pub(crate) allowance: ConnectionAllowance,
     pub(crate) pin_hold: Duration,
-    /// The mean run of all kinds, for the time at which refused callers are to come back.
+    /// The moving average of all run times, from which the time until a refused caller may retry is
+    /// derived.
     pub(crate) mean_run: Duration,
     pub(crate) pending: Vec<SchedulerDecision>,
 }
@@ -71,33 +72,33 @@
 pub(crate) struct DispatchedRequest {
     pub(crate) request: WaitingRequest,
     pub(crate) instance: InstanceName,
-    /// The expected run on a healthy instance, without the way there and back.
-    pub(crate) base: Duration,
-    /// What the customer was charged for.
+    /// The expected run time on a healthy instance, without the round trip.
+    pub(crate) expected_run: Duration,
+    /// The run time that the customer's virtual time was charged with.
     pub(crate) charged: Duration,
-    /// Whether the expectation rested on enough runs to judge the endpoint by.
-    pub(crate) mature: bool,
-    /// Whether its caller has gone.
+    /// Whether the estimate was based on enough runs to judge the endpoint by this one.
+    pub(crate) estimate_mature: bool,
+    /// Whether the caller has gone.
     pub(crate) abandoned: bool,
 }
 
 impl GroupScheduler {
     /// Creates a scheduler without endpoints and customers.
     pub fn new(settings: SchedulerSettings) -> Self {
-        let returns = ReturnPlanner::new(settings.seed);
+        let retry_after = RetryAfterPlanner::new(settings.seed);
         Self {
             settings,
             customers: CustomerTable::default(),
             endpoints: EndpointTable::default(),
             queue: WaitingQueue::default(),
             estimates: EstimateTable::default(),
-            ledger: ShareLedger::default(),
+            fair_clock: FairClock::default(),
             retries: RetryBudget::default(),
             counts: SchedulerCounts::default(),
             running: HashMap::new(),
-            returns,
+            retry_after,
             next_review: ClockTime::default(),
-            primary_lost: Some(ClockTime::default()),
+            primary_lost_at: Some(ClockTime::default()),
             primary_due: None,
             allowance: ConnectionAllowance::default(),
             pin_hold: PIN_HOLD_PRIOR,
@@ -106,16 +107,16 @@
         }
     }
 
-    /// Replaces what is known of the customers' contracts.
+    /// Replaces the terms of all customers' contracts.
     ///
-    /// Requests of a customer that is missing from `terms` are refused from now on; those that wait
-    /// already stay.
+    /// Requests of a customer that is missing from `terms` are refused from now on; those that
+    /// already wait stay in the queue.
     pub fn set_contracts(&mut self, terms: &[CustomerTerms]) {
         self.customers.set_terms(terms);
         self.queue.reserve_customers(self.customers.len());
         for index in 0..self.customers.len() {
             let weight = self.customers.get(index).terms.slot_share;
-            self.ledger.set_weight(index, weight);
+            self.fair_clock.set_weight(index, weight);
         }
     }
 
@@ -131,7 +132,7 @@
         self.note_primary(now);
     }
 
-    /// Removes an endpoint; the ends of its running requests are still to be reported.
+    /// Removes an endpoint. The ends of its running requests must still be reported.
     pub fn remove_endpoint(&mut self, now: ClockTime, instance: &InstanceName) {
         if let Some(record) = self.endpoints.get(instance) {
             for pin in &record.pins {
@@ -142,19 +143,20 @@
         self.note_primary(now);
     }
 
-    /// Notes when a group without a primary is expected to have one, where that is known.
+    /// Sets when a group without a primary is expected to have one, if that is known.
     ///
-    /// Requests that need one and can't wait so long are refused by the next poll.
+    /// The next poll refuses requests that need a primary and can't wait that long.
     pub fn expect_primary(&mut self, due: Option<ClockTime>) {
         self.primary_due = due;
     }
 
-    /// Notes how many connections the VM may hold to the endpoints of all its groups.
+    /// Sets how many connections the VM may hold to the endpoints of all its groups.
     pub fn set_allowance(&mut self, allowance: ConnectionAllowance) {
         self.allowance = allowance;
     }
 
-    /// Notes what an instance holds, and a bound of its data's age at this moment.
+    /// Records the log position that an instance has applied, and an upper bound of its data's age
+    /// at `now`.
     pub fn report_position(
         &mut self,
         now: ClockTime,
@@ -169,7 +171,7 @@
         }
     }
 
-    /// Takes a request in or refuses it.
+    /// Admits a request to the queue or refuses it.
     pub fn arrive(&mut self, now: ClockTime, profile: RequestProfile) -> ArrivalDecision {
         self.counts.arrived += 1;
         let ticket = profile.ticket;
@@ -179,13 +181,13 @@
         }
     }
 
-    /// Decides what is to be done now.
+    /// Returns the decisions that are due now.
     pub fn poll(&mut self, now: ClockTime) -> Vec<SchedulerDecision> {
         self.endpoints.forget_removed();
         self.mark_long_runs(now);
         self.judge_health(now);
         let mut decisions = std::mem::take(&mut self.pending);
-        self.follow_plan(now, &mut decisions);
+        self.execute_plans(now, &mut decisions);
         if self.settings.excess == ExcessRule::Waits {
             self.plan_until_settled(now, &mut decisions);
         }
@@ -193,7 +195,7 @@
         decisions
     }
 
-    /// Returns when to poll again, if no event comes before.
+    /// Returns when to poll again if no event comes before that.
     pub fn next_wakeup(&self, now: ClockTime) -> Option<ClockTime> {
         if !self.pending.is_empty() {
             return Some(now);
@@ -204,12 +206,13 @@
         if self.next_review > now {
             return Some(self.next_review);
         }
-        Some(now + REVIEW_GAP)
+        Some(now + REVIEW_INTERVAL)
     }
 
-    /// Notes that a dispatched request has ended.
+    /// Records that a dispatched request has ended.
     ///
-    /// A transaction whose opening request did not run, or was lost, holds its connection no more.
+    /// A transaction whose opening request did not run, or was lost, no longer holds its
+    /// connection.
     pub fn finished(
         &mut self,
         now: ClockTime,
@@ -245,7 +248,7 @@
         }
     }
 
-    /// Forgets a request whose caller has gone.
+    /// Drops a request whose caller has gone.
     pub fn abandon(&mut self, ticket: RequestTicket) -> AbandonEffect {
         if self.drop_waiting(ticket) {
             return AbandonEffect::Removed;
@@ -259,10 +262,11 @@
         }
     }
 
-    /// Frees the connection that a transaction holds.
+    /// Releases the connection that a transaction holds.
     ///
-    /// `opener` is the ticket of the request that opened it. A connection that is closed rather than
-    /// freed is unpinned first and reported by [`connection_closed`](Self::connection_closed) then.
+    /// `opener` is the ticket of the request that opened the transaction. If the connection is
+    /// closed rather than returned to the pool, call this first and
+    /// [`connection_closed`](Self::connection_closed) after it.
     pub fn unpin(&mut self, now: ClockTime, opener: RequestTicket) {
         let Some(index) = self.endpoints.index_of_pin(opener) else {
             return;
@@ -276,7 +280,7 @@
         self.pin_hold = (self.pin_hold * 7 + now.since(pin.since)) / 8;
     }
 
-    /// Notes that a connection was opened.
+    /// Records that a connection was opened.
     pub fn connection_opened(&mut self, instance: &InstanceName) {
         if let Some(record) = self.endpoints.get_mut(instance) {
             record.opening = record.opening.saturating_sub(1);
@@ -284,15 +288,15 @@
         }
     }
 
-    /// Notes that a connection is opened for a request that was dispatched, beyond those asked for. It
-    /// counts as open from here on, as the request is on it.
+    /// Records that a connection beyond the requested ones is being opened for a dispatched
+    /// request. It counts as open from now on, because the request occupies it.
     pub fn connection_added(&mut self, instance: &InstanceName) {
         if let Some(record) = self.endpoints.get_mut(instance) {
             record.open += 1;
         }
     }
 
-    /// Notes that a connection that was added, or took another's place, could not be opened.
+    /// Records that a connection that was added, or that replaced another one, could not be opened.
     pub fn added_connection_failed(&mut self, now: ClockTime, instance: &InstanceName) {
         if let Some(record) = self.endpoints.get_mut(instance) {
             record.open = record.open.saturating_sub(1);
@@ -300,7 +304,7 @@
         }
     }
 
-    /// Notes which accounts have an idle connection to an instance, by their digests.
+    /// Sets the accounts that have an idle connection to an instance, as digests.
     pub fn set_idle_accounts(
         &mut self,
         instance: &InstanceName,
@@ -313,7 +317,7 @@
         }
     }
 
-    /// Notes that a connection could not be opened.
+    /// Records that a connection could not be opened.
     pub fn connection_failed(&mut self, now: ClockTime, instance: &InstanceName) {
         if let Some(record) = self.endpoints.get_mut(instance) {
             record.opening = record.opening.saturating_sub(1);
@@ -321,25 +325,27 @@
         }
     }
 
-    /// Notes that an open, idle connection is asked to prove that it still answers.
+    /// Records that validation of an open, idle connection has started.
     ///
-    /// When one connection has gone silent, something on the path may have forgotten all of them.
-    /// A request that were dispatched on one of the others would wait there for an answer that
-    /// never comes. [`doubt_ended`](Self::doubt_ended) must follow.
+    /// When one connection has gone silent, a firewall or another device on the path may have
+    /// dropped the state of all of them. A request sent on one of the others would wait for an
+    /// answer that never comes, so a connection takes no requests until
+    /// [`doubt_ended`](Self::doubt_ended) is called.
     pub fn connection_doubted(&mut self, instance: &InstanceName) {
         if let Some(record) = self.endpoints.get_mut(instance) {
-            record.doubted = (record.doubted + 1).min(record.open);
+            record.validating = (record.validating + 1).min(record.open);
         }
     }
 
-    /// Notes that a connection in doubt has answered, or is about to be reported as closed.
+    /// Records that a connection under validation has answered, or is about to be reported as
+    /// closed.
     pub fn doubt_ended(&mut self, instance: &InstanceName) {
         if let Some(record) = self.endpoints.get_mut(instance) {
-            record.doubted = record.doubted.saturating_sub(1);
+            record.validating = record.validating.saturating_sub(1);
         }
     }
 
-    /// Notes that an open connection was closed or lost.
+    /// Records that an open connection was closed or lost.
     pub fn connection_closed(&mut self, instance: &InstanceName) {
         if let Some(record) = self.endpoints.get_mut(instance) {
             record.open = record.open.saturating_sub(1);
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a group's scheduler is told once, at its creation.
+//! Settings of a group's scheduler.
 
 use ragwort_types::DomainName;
 use std::time::Duration;
@@ -6,22 +6,23 @@
 /// The settings of a [`GroupScheduler`](crate::GroupScheduler).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SchedulerSettings {
-    /// Spreads the times at which refused callers come back; differs between leaseholders.
+    /// Seeds the spread of the times after which refused callers retry; differs between
+    /// leaseholders.
     pub seed: u64,
     /// The failure domain of the leaseholder.
     pub home_domain: DomainName,
-    /// The time that a message takes from one failure domain to another, one way.
+    /// The one-way network delay between failure domains.
     pub domain_delay: Duration,
     /// What endpoints do with a statement that arrives while all of their slots are in use.
     pub excess: ExcessRule,
     /// The time that opening a connection takes.
     pub connect_time: Duration,
-    /// Which modules are at work.
+    /// The modules in use.
     pub modules: ModuleSwitches,
 }
 
 impl SchedulerSettings {
-    /// Creates settings with every module at work.
+    /// Creates settings with all modules in use.
     pub fn new(seed: u64, home_domain: DomainName) -> Self {
         Self {
             seed,
@@ -37,39 +38,39 @@
 /// What endpoints do with a statement that arrives while all of their slots are in use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ExcessRule {
-    /// Unknown, or nothing good: no more statements are sent than there are slots.
+    /// Unknown, or the endpoint mishandles it: no more statements are sent than there are slots.
     #[default]
     Forbidden,
-    /// The endpoint lets it wait for the next free slot: a statement is sent one way ahead of the
-    /// moment at which a slot is expected to be free.
+    /// The endpoint queues it for the next free slot: a statement is sent ahead, by the network
+    /// delay, of the time at which a slot is expected to become free.
     Waits,
 }
 
-/// Which modules are at work; all of them outside of measurements.
+/// Which modules are in use; all of them outside of measurements.
 ///
-/// A measurement switches one off to show what callers receive without it. No switch lets a
-/// request reach an instance that must not serve it.
+/// A measurement turns one off to show what callers receive without it. No switch lets a request
+/// reach an instance that must not serve it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ModuleSwitches {
     /// Refuse a request as soon as it can't meet its deadline.
     pub early_refusal: bool,
-    /// Urgent requests first, then the least slack.
+    /// Serve urgent requests first, then those with the least slack.
     pub order: bool,
-    /// Requests that can't meet their target go behind those that can.
+    /// Serve requests that can't meet their target after those that can.
     pub targets: bool,
-    /// Slots by contract share.
+    /// Divide slot time between customers by their contracts' shares.
     pub shares: bool,
-    /// Hot callers and keys wait behind the others of their customer.
-    pub hot_callers: bool,
-    /// Long jobs leave slots for short ones.
+    /// Delay callers and keys that exceed their even share within their customer.
+    pub caller_pacing: bool,
+    /// Reserve slots for short requests among long jobs.
     pub long_jobs: bool,
-    /// Reads go to replicas first and to the instance that is expected to end them first.
+    /// Send reads to replicas first, and to the instance that is expected to end them first.
     pub routing: bool,
-    /// Slow endpoints lose work.
+    /// Give slow endpoints less work.
     pub health: bool,
-    /// Retries are limited to a budget.
+    /// Limit retries to a budget.
     pub retry_budget: bool,
-    /// Connections are opened ahead of need.
+    /// Open connections ahead of need.
     pub connections_ahead: bool,
 }
 
@@ -80,7 +81,7 @@
             order: true,
             targets: true,
             shares: true,
-            hot_callers: true,
+            caller_pacing: true,
             long_jobs: true,
             routing: true,
             health: true,
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! A scheduler's state for dumps and metrics.
+//! Snapshot of a scheduler's state for dumps and metrics.
 
 use crate::ClockTime;
 use crate::EndpointRole;
@@ -23,21 +23,21 @@
     pub customers: Vec<CustomerSnapshot>,
     /// The estimates of run time, by customer and kind.
     pub kinds: Vec<KindSnapshot>,
-    /// Urgent requests that wait.
+    /// The number of waiting urgent requests.
     pub waiting_urgent: usize,
-    /// Ordinary requests that wait.
+    /// The number of waiting ordinary requests.
     pub waiting_ordinary: usize,
-    /// Statements of open transactions that wait.
+    /// The number of waiting statements of open transactions.
     pub waiting_pinned: usize,
     /// The age of the oldest waiting request, in microseconds.
     pub oldest_wait_micros: u64,
-    /// Retries that the budget still allows.
+    /// The number of retries that the budget allows.
     pub retries_left: u32,
     /// Counts since the start.
     pub counts: SchedulerCounts,
 }
 
-/// What a scheduler did since its start.
+/// Counts of a scheduler's decisions since its start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SchedulerCounts {
     /// Requests that arrived.
@@ -48,77 +48,77 @@
     pub replica_reads: u64,
     /// Reads that the contract allowed a replica to serve.
     pub permitted_reads: u64,
-    /// Requests sent to an endpoint to see whether it has recovered.
+    /// Requests sent to a cut-off endpoint as trials of its recovery.
     pub trials: u64,
-    /// Requests that were queued a second time.
+    /// Requests that were queued again after they failed.
     pub retried: u64,
     /// Final refusals by cause.
     pub refused: BTreeMap<RefusalCause, u64>,
-    /// The time that dispatched requests had waited, in microseconds.
+    /// The total waiting time of dispatched requests, in microseconds.
     pub waited_micros: u64,
 }
 
-/// One endpoint.
+/// The state of one endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointSnapshot {
     /// The instance.
     pub instance: InstanceName,
-    /// What it is used for.
+    /// The work that it accepts.
     pub role: EndpointRole,
     /// Whether it is leaving.
     pub leaving: bool,
-    /// How many statements it runs at once.
+    /// The number of statements that it runs concurrently.
     pub slots: u32,
-    /// How many run now.
+    /// The number of statements that run now.
     pub slots_held: u32,
-    /// Long jobs among them.
+    /// The number of long jobs among them.
     pub long_running: u32,
-    /// Open connections.
+    /// The number of open connections.
     pub open: u32,
-    /// Connections being opened.
+    /// The number of connections being opened.
     pub opening: u32,
-    /// Connections held by transactions.
+    /// The number of connections held by transactions.
     pub pinned: u32,
-    /// How much work it gets.
+    /// The part of its slots that it gets work for.
     pub health: HealthLevel,
     /// The factor by which its runs are longer than expected.
     pub slowdown: f64,
 }
 
-/// One customer.
+/// The state of one customer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CustomerSnapshot {
     /// The customer.
     pub customer: CustomerName,
     /// Its weight.
     pub slot_share: u32,
-    /// Its waiting urgent requests.
+    /// The number of its waiting urgent requests.
     pub waiting_urgent: usize,
-    /// Its waiting ordinary requests.
+    /// The number of its waiting ordinary requests.
     pub waiting_ordinary: usize,
-    /// The slot time that it was given since the start, in microseconds.
+    /// The slot time that it has used since the start, in microseconds.
     pub slot_micros: u64,
-    /// Connections that its transactions hold.
+    /// The number of connections that its transactions hold.
     pub pinned: u32,
 }
 
-/// The estimate of one kind.
+/// The run time estimate of one kind.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KindSnapshot {
     /// The customer.
     pub customer: CustomerName,
     /// The kind.
     pub kind: KindName,
-    /// The expected run, in microseconds.
+    /// The expected run time, in microseconds.
     pub expected_micros: u64,
-    /// The mean distance from it, in microseconds.
+    /// The mean absolute deviation from it, in microseconds.
     pub deviation_micros: u64,
-    /// Whether the kind is treated as long.
+    /// Whether the kind counts as long.
     pub long: bool,
 }
 
 impl SchedulerSnapshot {
-    /// Reads a scheduler's state.
+    /// Collects the state of a scheduler.
     pub(crate) fn collect(scheduler: &GroupScheduler, now: ClockTime) -> Self {
         let queue = &scheduler.queue;
         let oldest = queue.iter().map(|request| request.arrived).min();
--- a/crates/policy/src/steps.rs
+++ b/crates/policy/src/steps.rs
@@ -1,4 +1,4 @@
-//! How a scheduler takes requests in, reviews them, and follows its plan.
+//! Admission of requests, review of the queue, and execution of plans.
 
 use crate::ClockTime;
 use crate::GroupScheduler;
@@ -7,9 +7,9 @@
 use crate::RequestStep;
 use crate::RequestTicket;
 use crate::SchedulerDecision;
+use crate::admission::EXPECTED_PROMOTION_TIME;
 use crate::admission::GROUP_QUEUE_LIMIT;
-use crate::admission::PROMOTION_REST;
-use crate::admission::PROMOTION_TIME;
+use crate::admission::MIN_REMAINING_PROMOTION;
 use crate::admission::misses_deadline;
 use crate::admission::queue_limit;
 use crate::plan::DispatchPlan;
@@ -24,25 +24,26 @@
 use ragwort_types::UrgencyClass;
 use std::time::Duration;
 
-/// With this many waiting requests or fewer, each poll plans the whole queue.
+/// A queue of at most this many requests is reviewed and planned completely at each poll.
 const SMALL_QUEUE: usize = 64;
 
-/// A longer queue is planned as a whole this often.
+/// The minimum interval between two complete plans of a longer queue.
 ///
-/// A refusal still comes within the time of one message.
-pub(crate) const REVIEW_GAP: Duration = Duration::from_millis(2);
+/// Refusals are delayed by no more than about the time of one message.
+pub(crate) const REVIEW_INTERVAL: Duration = Duration::from_millis(2);
 
-/// A queue of more than some hundred requests is planned less often, by this much for each.
+/// The interval between two complete plans, for each waiting request.
 ///
-/// A plan takes about 0.3 µs for each waiting request, so plans take a tenth of a core at most.
-const REVIEW_GAP_PER_REQUEST: Duration = Duration::from_micros(3);
+/// A plan takes about 0.3 µs for each waiting request, so planning takes at most a tenth of a core.
+const REVIEW_INTERVAL_PER_REQUEST: Duration = Duration::from_micros(3);
 
-/// Plans after which a poll gives up to settle. Each one sends or refuses at least one request, and a
-/// group of three endpoints with two slots each has little more to send at once.
-const SETTLING_PLANS: usize = 16;
+/// The maximum number of consecutive plans in one poll. Each plan that leads to another one
+/// dispatches or refuses at least one request, and a group of three endpoints with two slots each
+/// has few requests to dispatch at once.
+const MAX_PLAN_PASSES: usize = 16;
 
 impl GroupScheduler {
-    /// Takes a request into the queue, if its contract and the queue's limits allow.
+    /// Takes a request into the queue if its contract and the queue's limits allow it.
     pub(crate) fn admit(
         &mut self,
         now: ClockTime,
@@ -70,7 +71,7 @@
         Ok(())
     }
 
-    /// Puts a request that ended without running back into the queue.
+    /// Puts a request that ended without having run back into the queue.
     pub(crate) fn requeue(&mut self, now: ClockTime, request: WaitingRequest) {
         let attempts = request.attempts;
         let customer = request.customer;
@@ -84,7 +85,7 @@
         self.insert(request);
     }
 
-    /// Forgets a waiting request; returns whether there was one.
+    /// Removes a waiting request; returns whether there was one.
     pub(crate) fn drop_waiting(&mut self, ticket: RequestTicket) -> bool {
         let Some(request) = self.queue.remove(ticket) else {
             return false;
@@ -114,35 +115,31 @@
         let run = self.mean_run / slots;
         let mut backlog = run * waiting;
         if cause == RefusalCause::NoPrimary {
-            let back = self.foresee_primary(now);
+            let back = self.expected_primary_at(now);
             backlog += back.map_or(Duration::ZERO, |back| back.since(now));
         }
-        self.returns.refuse(now, ticket, cause, backlog, run)
+        self.retry_after.refuse(now, ticket, cause, backlog, run)
     }
 
-    /// Notes since when the group has no primary.
+    /// Records since when the group has had no primary.
     pub(crate) fn note_primary(&mut self, now: ClockTime) {
         if self.endpoints.has_primary() {
-            self.primary_lost = None;
-        } else if self.primary_lost.is_none() {
-            self.primary_lost = Some(now);
+            self.primary_lost_at = None;
+        } else if self.primary_lost_at.is_none() {
+            self.primary_lost_at = Some(now);
         }
     }
 
-    /// Refuses what waits for something that will not come in time, and moves reads between the
-    /// replicas' lanes and the primary's as replicas catch up or fall behind.
-    pub(crate) fn review_waiting(
-        &mut self,
-        now: ClockTime,
-        decisions: &mut Vec<SchedulerDecision>,
-    ) {
-        let mut stranded = Vec::new();
+    /// Refuses requests whose condition can't be met in time, and moves reads between the lanes of
+    /// the replicas and of the primary as replicas catch up or fall behind.
+    pub(crate) fn review_queue(&mut self, now: ClockTime, decisions: &mut Vec<SchedulerDecision>) {
+        let mut unservable = Vec::new();
         let mut moved = Vec::new();
         for request in self.queue.iter() {
             let ticket = request.profile.ticket;
-            let replica = self.leaves_to_replicas(now, &request.profile);
-            if let Some(cause) = self.find_stranding(now, request, replica) {
-                stranded.push((ticket, cause));
+            let replica = self.prefers_replica(now, &request.profile);
+            if let Some(cause) = self.unservable_cause(now, request, replica) {
+                unservable.push((ticket, cause));
                 continue;
             }
             if replica != request.lane.replica {
@@ -153,7 +150,7 @@
                 moved.push((ticket, lane));
             }
         }
-        for (ticket, cause) in stranded {
+        for (ticket, cause) in unservable {
             self.refuse_waiting(now, ticket, cause, decisions);
         }
         for (ticket, lane) in moved {
@@ -161,30 +158,30 @@
         }
     }
 
-    /// Plans, and carries out what the plan says of the present, until no request becomes overdue and
-    /// none is refused.
+    /// Computes plans and carries out their present steps until a plan neither demotes nor refuses
+    /// a request.
     ///
-    /// An overdue request is planned anew behind the others, so that its caller learns at once if it
-    /// has no chance there. A refusal leaves fewer reads to the replicas, so that one of them may
-    /// wait for these again and take another request's chance.
-    pub(crate) fn follow_plan(&mut self, now: ClockTime, decisions: &mut Vec<SchedulerDecision>) {
-        for _ in 0..SETTLING_PLANS {
-            if !self.follow_plan_once(now, decisions) {
+    /// A request that can no longer meet its target is planned again behind the others, so that its
+    /// caller learns at once if it can't be served there either. A refusal leaves fewer reads to
+    /// the replicas, so a read may be left to them again and displace another request.
+    pub(crate) fn execute_plans(&mut self, now: ClockTime, decisions: &mut Vec<SchedulerDecision>) {
+        for _ in 0..MAX_PLAN_PASSES {
+            if !self.execute_plan(now, decisions) {
                 return;
             }
         }
     }
 
-    /// Follows one plan and says whether another one may follow from it.
-    fn follow_plan_once(&mut self, now: ClockTime, decisions: &mut Vec<SchedulerDecision>) -> bool {
+    /// Computes and carries out one plan; returns whether another one is needed.
+    fn execute_plan(&mut self, now: ClockTime, decisions: &mut Vec<SchedulerDecision>) -> bool {
         if self.queue.is_empty() {
             return false;
         }
         let review = self.queue.len() <= SMALL_QUEUE || now >= self.next_review;
         if review {
             let waiting = u32::try_from(self.queue.len()).unwrap_or(u32::MAX);
-            self.next_review = now + REVIEW_GAP.max(REVIEW_GAP_PER_REQUEST * waiting);
-            self.review_waiting(now, decisions);
+            self.next_review = now + REVIEW_INTERVAL.max(REVIEW_INTERVAL_PER_REQUEST * waiting);
+            self.review_queue(now, decisions);
         }
         let plan = DispatchPlan::new(PlanInput {
             now,
@@ -192,7 +189,7 @@
             endpoints: &self.endpoints,
             estimates: &self.estimates,
             customers: &self.customers,
-            ledger: &self.ledger,
+            fair_clock: &self.fair_clock,
             connect_time: self.settings.connect_time,
             pin_hold: self.pin_hold,
             excess: self.settings.excess,
@@ -203,64 +200,66 @@
         } else {
             plan.walk_present()
         };
-        let mut unsettled = false;
+        let mut replan = false;
         for step in steps {
             let ticket = self.queue.at(step.slot).profile.ticket;
             match step.action {
-                PlanAction::Overdue => {
+                PlanAction::CannotMeetTarget => {
                     let estimate = self.estimates.get(self.queue.at(step.slot).kind);
                     let deadline = self.queue.at(step.slot).profile.deadline;
                     let order = deadline.before(estimate.expected());
-                    self.queue.make_overdue(now, ticket, order);
-                    unsettled = true;
+                    self.queue.demote(now, ticket, order);
+                    replan = true;
                 }
                 PlanAction::Start(start) if start.at == now => {
                     self.dispatch(now, ticket, start, decisions);
                 }
                 PlanAction::Start(start) => {
-                    self.queue.note_plan(step.slot, start.at.since(now));
+                    self.queue
+                        .record_planned_wait(step.slot, start.at.since(now));
                 }
-                PlanAction::Hopeless => {
-                    unsettled = true;
-                    self.learn_hopeless(step.slot);
+                PlanAction::CannotMeetDeadline => {
+                    replan = true;
+                    self.learn_from_refusal(step.slot);
                     let cause = RefusalCause::DeadlineOutOfReach;
                     self.refuse_waiting(now, ticket, cause, decisions);
                 }
             }
         }
-        unsettled
+        replan
     }
 
-    /// Plans again until nothing more follows, where statements are sent ahead.
+    /// Plans repeatedly until no further decision results, for endpoints to which statements are
+    /// sent ahead.
     ///
-    /// A statement that was sent ahead holds its slot for longer than the plan that sent it reckoned
-    /// with, by the way there and back. A request behind it can be hopeless by that, and its caller
+    /// A statement that was sent ahead holds its slot longer than its plan assumed, by the round
+    /// trip. A request behind it may no longer meet its deadline because of that, and its caller
     /// would learn so one poll too late.
     pub(crate) fn plan_until_settled(
         &mut self,
         now: ClockTime,
         decisions: &mut Vec<SchedulerDecision>,
     ) {
-        for _ in 0..SETTLING_PLANS {
+        for _ in 0..MAX_PLAN_PASSES {
             let known = decisions.len();
-            self.follow_plan(now, decisions);
+            self.execute_plans(now, decisions);
             if decisions.len() == known {
                 return;
             }
         }
     }
 
-    /// Learns that a request was let in and would have waited until it was too late, or that a new
-    /// one had no chance from the start.
-    fn learn_hopeless(&mut self, slot: usize) {
+    /// Adjusts the wait factor: up if an admitted request would have waited beyond its deadline,
+    /// down if a new request was refused at its first plan.
+    fn learn_from_refusal(&mut self, slot: usize) {
         let request = self.queue.at(slot);
         let customer = self.customers.get_mut(request.customer);
-        let stretch = customer.stretch_mut(request);
+        let wait_factor = customer.wait_factor_mut(request);
         match request.planned_wait {
             Some(planned) => {
-                stretch.learn(planned, request.due().since(request.ranked));
+                wait_factor.learn(planned, request.due().since(request.ranked_at));
             }
-            None => stretch.relax(),
+            None => wait_factor.decay_after_refusal(),
         }
     }
 
@@ -279,15 +278,15 @@
             RequestStep::Single | RequestStep::Opens => None,
         };
         let mut lane = LaneKind {
-            overdue: false,
+            target_missed: false,
             urgent: profile.urgency == UrgencyClass::Urgent,
             long: estimate.is_long(),
-            replica: self.leaves_to_replicas(now, &profile),
+            replica: self.prefers_replica(now, &profile),
         };
         let due = profile.target.unwrap_or(profile.deadline);
         let mut order = due.min(profile.deadline).before(estimate.expected());
         let mut delay = Duration::ZERO;
-        if self.settings.modules.hot_callers && pinned_to.is_none() {
+        if self.settings.modules.caller_pacing && pinned_to.is_none() {
             let slots = self.usable_slots();
             let record = self.customers.get_mut(customer);
             delay = record.note_request(now, &profile, estimate.expected(), slots);
@@ -304,7 +303,7 @@
             lane,
             order,
             arrived: now,
-            ranked: now,
+            ranked_at: now,
             pinned_to,
             delay,
             planned_wait: None,
@@ -312,8 +311,8 @@
         })
     }
 
-    /// Says whether a request is left to the replicas rather than given to the primary.
-    fn leaves_to_replicas(&self, now: ClockTime, profile: &RequestProfile) -> bool {
+    /// Returns whether a request should wait for the replicas rather than use the primary.
+    fn prefers_replica(&self, now: ClockTime, profile: &RequestProfile) -> bool {
         if !profile.allows_replica() || !self.settings.modules.routing {
             return profile.allows_replica();
         }
@@ -330,8 +329,8 @@
 
     /// Makes sure that a request fits into its customer's queue.
     ///
-    /// In a full queue the request that would be served last gives way, which is the newest one of
-    /// a hot caller if there is one.
+    /// In a full queue the request that would be served last is refused, which is the newest
+    /// request of a caller that exceeds its share if there is one.
     fn make_room(&mut self, now: ClockTime, request: &WaitingRequest) -> Result<(), RefusalCause> {
         let urgent = request.lane.urgent;
         if !urgent && self.queue.len() >= GROUP_QUEUE_LIMIT {
@@ -345,7 +344,7 @@
         let Some(last) = queue.last(urgent) else {
             return Err(RefusalCause::Overload);
         };
-        if last.order <= request.order || !self.settings.modules.hot_callers {
+        if last.order <= request.order || !self.settings.modules.caller_pacing {
             return Err(RefusalCause::Overload);
         }
         let mut pending = std::mem::take(&mut self.pending);
@@ -356,7 +355,7 @@
 
     fn insert(&mut self, request: WaitingRequest) {
         if self.queue.is_idle(request.customer) {
-            self.ledger.resume(request.customer);
+            self.fair_clock.resume(request.customer);
         }
         self.queue.insert(request);
     }
@@ -375,8 +374,8 @@
         decisions.push(SchedulerDecision::Refuse(RefusalOrder { ticket, refusal }));
     }
 
-    /// Returns why a request has nothing to wait for, if so.
-    fn find_stranding(
+    /// Returns the reason for which a request can't be served in time, if there is one.
+    fn unservable_cause(
         &self,
         now: ClockTime,
         request: &WaitingRequest,
@@ -391,7 +390,7 @@
                 None => Some(RefusalCause::TransactionLost),
             };
         }
-        let back = self.foresee_primary(now)?;
+        let back = self.expected_primary_at(now)?;
         if replica {
             return None;
         }
@@ -402,21 +401,21 @@
     }
 
     /// Returns when a group without a primary is expected to have one.
-    fn foresee_primary(&self, now: ClockTime) -> Option<ClockTime> {
-        let lost = self.primary_lost?;
-        let back = self.primary_due.unwrap_or(lost + PROMOTION_TIME);
-        Some(back.max(now + PROMOTION_REST))
+    fn expected_primary_at(&self, now: ClockTime) -> Option<ClockTime> {
+        let lost = self.primary_lost_at?;
+        let back = self.primary_due.unwrap_or(lost + EXPECTED_PROMOTION_TIME);
+        Some(back.max(now + MIN_REMAINING_PROMOTION))
     }
 
-    /// Returns the slots of the endpoints that take fresh work.
+    /// Returns the total number of slots of the endpoints that accept requests.
     pub(crate) fn usable_slots(&self) -> u32 {
         let records = self.endpoints.records().iter();
-        let usable = records.filter(|record| record.takes_fresh_work());
+        let usable = records.filter(|record| record.accepts_unpinned());
         usable.map(|record| record.state.slots).sum()
     }
 }
 
-/// Says whether a refusal stands until the request or its contract changes.
+/// Returns whether a refusal holds until the request or its contract changes.
 fn is_lasting(cause: RefusalCause) -> bool {
     matches!(
         cause,
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -15,7 +15,7 @@
 use ragwort_policy::EndpointRole;
 use ragwort_policy::ExcessRule;
 use ragwort_policy::FlightLimiter;
-use ragwort_policy::GROUP_FLIGHT_LIMIT;
+use ragwort_policy::GROUP_IN_FLIGHT_LIMIT;
 use ragwort_policy::RequestProfile;
 use ragwort_policy::RequestTicket;
 use ragwort_policy::SchedulerDecision;
@@ -89,7 +89,7 @@
             refused += u32::from(admitted.is_err());
         }
     }
-    assert!(limiter.in_flight(&group) < GROUP_FLIGHT_LIMIT);
+    assert!(limiter.in_flight(&group) < GROUP_IN_FLIGHT_LIMIT);
     assert_eq!(limiter.in_flight(&group) + refused, 3_600);
     let last = limiter.admit(&group, &customers[2], UrgencyClass::Urgent);
     assert!(last.is_ok());
