--- a/crates/policy/examples/load_table.rs
+++ b/crates/policy/examples/load_table.rs
@@ -1,7 +1,8 @@
-//! Prints what callers receive under each load pattern, for the load page.
+//! Prints the outcomes for callers under each load pattern.
 //!
-//! Usage: `load_table [SEED [PATTERN]]`; without a seed that of the page is used, and without a
-//! part of a pattern's name all patterns are run. The pattern `modules` prints the table of modules.
+//! Usage: `load_table [SEED [PATTERN]]`; the default seed is that of the published table, and
+//! without a part of a pattern's name all patterns are run. The pattern `modules` prints the table
+//! of modules.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -68,7 +69,8 @@
     }
 }
 
-/// Prints the share of reads that come within their target, without the module and with it.
+/// Prints the fraction of reads that are answered within their target, without the module and with
+/// it.
 fn print_targets(user: UserSize, seed: u64) {
     let pattern = PatternName::ReplicasBehind.create(user);
     for targets in [false, true] {
@@ -83,16 +85,16 @@
     }
 }
 
-/// The number of seeds of the table of modules, counted from the given one.
+/// The number of consecutive seeds of the table of modules.
 const SEEDS: u64 = 3;
 
-/// A module, the pattern that it answers, and whose answers show its worth.
+/// A module, a load pattern that needs it, and the callers that it serves.
 struct ModuleRow {
     module: &'static str,
     pattern: PatternName,
     callers: &'static str,
-    off: fn(&mut ModuleSwitches),
-    chooses: fn(&SourceName) -> bool,
+    disable: fn(&mut ModuleSwitches),
+    includes: fn(&SourceName) -> bool,
 }
 
 const MODULE_ROWS: [ModuleRow; 12] = [
@@ -100,95 +102,95 @@
         module: "early refusal",
         pattern: PatternName::Mix(200),
         callers: "all",
-        off: |modules| modules.early_refusal = false,
-        chooses: |_| true,
+        disable: |modules| modules.early_refusal = false,
+        includes: |_| true,
     },
     ModuleRow {
         module: "queue order",
         pattern: PatternName::Mix(200),
         callers: "urgent",
-        off: |modules| modules.order = false,
-        chooses: |name| name.kind == "urgent",
+        disable: |modules| modules.order = false,
+        includes: |name| name.kind == "urgent",
     },
     ModuleRow {
         module: "shares",
         pattern: PatternName::Abuse,
         callers: "other customers",
-        off: |modules| modules.shares = false,
-        chooses: |name| name.customer != "abuser",
+        disable: |modules| modules.shares = false,
+        includes: |name| name.customer != "abuser",
     },
     ModuleRow {
         module: "hot callers",
         pattern: PatternName::HotCaller,
         callers: "same customer's others",
-        off: |modules| modules.caller_pacing = false,
-        chooses: |name| name.customer == "intake" && name.kind != "loop",
+        disable: |modules| modules.caller_pacing = false,
+        includes: |name| name.customer == "intake" && name.kind != "loop",
     },
     ModuleRow {
         module: "hot keys",
         pattern: PatternName::HotKey,
         callers: "writes to other keys",
-        off: |modules| modules.caller_pacing = false,
-        chooses: |name| matches!(name.kind, "update" | "urgent" | "balance"),
+        disable: |modules| modules.caller_pacing = false,
+        includes: |name| matches!(name.kind, "update" | "urgent" | "balance"),
     },
     ModuleRow {
         module: "long jobs",
         pattern: PatternName::LongJobs,
         callers: "short requests",
-        off: |modules| modules.long_jobs = false,
-        chooses: |name| name.kind != "report",
+        disable: |modules| modules.long_jobs = false,
+        includes: |name| name.kind != "report",
     },
     ModuleRow {
         module: "health",
         pattern: PatternName::SlowReplica(60),
         callers: "all",
-        off: |modules| modules.health = false,
-        chooses: |_| true,
+        disable: |modules| modules.health = false,
+        includes: |_| true,
     },
     ModuleRow {
         module: "health",
         pattern: PatternName::SlowReplica(10),
         callers: "all",
-        off: |modules| modules.health = false,
-        chooses: |_| true,
+        disable: |modules| modules.health = false,
+        includes: |_| true,
     },
     ModuleRow {
         module: "health",
         pattern: PatternName::Everything,
         callers: "reads",
-        off: |modules| modules.health = false,
-        chooses: |name| name.kind == "status",
+        disable: |modules| modules.health = false,
+        includes: |name| name.kind == "status",
     },
     ModuleRow {
         module: "routing",
         pattern: PatternName::Mix(50),
         callers: "needing the primary",
-        off: |modules| modules.routing = false,
-        chooses: |name| name.kind != "status",
+        disable: |modules| modules.routing = false,
+        includes: |name| name.kind != "status",
     },
     ModuleRow {
         module: "routing",
         pattern: PatternName::Mix(100),
         callers: "needing the primary",
-        off: |modules| modules.routing = false,
-        chooses: |name| name.kind != "status",
+        disable: |modules| modules.routing = false,
+        includes: |name| name.kind != "status",
     },
     ModuleRow {
         module: "connections ahead",
         pattern: PatternName::Burst,
         callers: "other customers",
-        off: |modules| modules.connections_ahead = false,
-        chooses: |name| name.customer != "clinics",
+        disable: |modules| modules.connections_ahead = false,
+        includes: |name| name.customer != "clinics",
     },
 ];
 
-/// Prints what the callers of each module's pattern receive by the plain policy, without the module
-/// and with it, over three seeds.
+/// Prints the outcomes for the callers of each module's pattern with the baseline policy, without
+/// the module and with it, over three seeds.
 fn print_modules(seed: u64) {
     for row in MODULE_ROWS {
         for user in [UserSize::Omuti, UserSize::Sabarmati] {
             let mut modules = ModuleSwitches::default();
-            (row.off)(&mut modules);
+            (row.disable)(&mut modules);
             let choices = [
                 PolicyChoice::Plain,
                 PolicyChoice::Scheduler(modules),
@@ -211,10 +213,10 @@
     let (mut replica, mut permitted, mut connections) = (0, 0, 0);
     for seed in seed..seed + SEEDS {
         let outcome = run_pattern(&row.pattern.create(user), choice, seed);
-        part.add(&outcome.sum(row.chooses));
+        part.add(&outcome.sum(row.includes));
         replica += outcome.replica_reads;
         permitted += outcome.permitted_reads;
-        connections = connections.max(outcome.most_connections);
+        connections = connections.max(outcome.max_connections);
     }
     print!(
         "| {:.1} / {:.2} / {:.0} ",
@@ -244,7 +246,7 @@
         outcome.late_from_slow,
         outcome.slow_dispatches.iter().take(8).collect::<Vec<_>>(),
         outcome.trials,
-        outcome.all_long,
+        outcome.all_slots_long,
     );
 }
 
@@ -257,14 +259,14 @@
         part.in_time_share() * 100.0,
         part.late_share() * 100.0,
         refused as f64 * 100.0 / part.offered.max(1) as f64,
-        part.warning.as_secs_f64() * 1e3 / part.refused.max(1) as f64,
-        part.short_warnings,
+        part.time_left.as_secs_f64() * 1e3 / part.refused.max(1) as f64,
+        part.late_refusals,
         wait_millis(part, 0.5),
         wait_millis(part, 0.99),
     );
 }
 
-/// Returns the wait that this share of the answers did not exceed.
+/// Returns the wait that this share of the answers did not exceed, in milliseconds.
 fn wait_millis(part: &SourceOutcome, share: f64) -> f64 {
     let mut waits = part.waits.clone();
     waits.sort_unstable();
--- a/crates/policy/src/runs.rs
+++ b/crates/policy/src/runs.rs
@@ -176,7 +176,7 @@
         let sent = u32::try_from(record.running.len()).unwrap_or(u32::MAX);
         debug_assert!(
             sent < record.state.slots + ahead,
-            "a statement without a slot"
+            "more statements in flight than the endpoint takes"
         );
         if request.pinned_to.is_none() {
             record.urgent_run = next_urgent_run(record.urgent_run, request.lane, ordinary_waits);
--- a/crates/policy/src/steps.rs
+++ b/crates/policy/src/steps.rs
@@ -51,7 +51,7 @@
     ) -> Result<(), RefusalCause> {
         debug_assert!(
             !self.queue.contains(profile.ticket) && !self.running.contains_key(&profile.ticket),
-            "a ticket names one request"
+            "the ticket is already in use"
         );
         let Some(customer) = self.customers.index_of(&profile.customer) else {
             return Err(RefusalCause::Contract);
--- a/crates/policy/tests/account_connections.rs
+++ b/crates/policy/tests/account_connections.rs
@@ -1,4 +1,4 @@
-//! Connections that belong to accounts, replayed in virtual time: who calls, and how many are opened.
+//! Simulation in virtual time of a pool whose connections are bound to accounts.
 
 use ragwort_policy::AccountDemand;
 use ragwort_policy::ClockTime;
@@ -11,7 +11,7 @@
 use rand::rngs::StdRng;
 use std::time::Duration;
 
-/// Connections that the endpoint takes from all VMs.
+/// Number of connections that the endpoint takes from all VMs.
 const CONNECTIONS: u32 = 60;
 
 macro_rules! account_cases {
@@ -29,8 +29,8 @@
     last_used: ClockTime,
 }
 
-/// One endpoint and the connections to it.
-struct ReplayedEndpoint {
+/// A simulated endpoint and the connections to it.
+struct SimulatedEndpoint {
     now: ClockTime,
     connections: Vec<SimulatedConnection>,
     room: u32,
@@ -39,7 +39,7 @@
     refused: u32,
 }
 
-impl ReplayedEndpoint {
+impl SimulatedEndpoint {
     fn new() -> Self {
         Self {
             now: ClockTime::from_millis(1),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Runs a statement of an account that takes this long.
+    /// Runs a statement of an account that takes `run`.
     fn run(&mut self, account: &str, run: Duration) {
         let (now, until) = (self.now, self.now + run);
         let idle = |one: &&mut SimulatedConnection| one.busy_until <= now;
@@ -97,11 +97,12 @@
 const RUN: Duration = Duration::from_millis(33);
 
 account_cases! {
-    /// Four accounts call all the time, and two hundred once in a while. The four keep their connections:
-    /// given to those that call once, they would be opened again for most statements.
+    /// Four accounts call all the time, and two hundred once in a while. The four must keep their
+    /// connections: given to accounts that call once, they would be opened again for most
+    /// statements.
     busy_accounts_keep_their_connections {
         let mut random = StdRng::seed_from_u64(5);
-        let mut endpoint = ReplayedEndpoint::new();
+        let mut endpoint = SimulatedEndpoint::new();
         let (mut busy, mut busy_opened) = (0, 0);
         for _ in 0..4_000 {
             endpoint.pass(Duration::from_millis(20));
@@ -118,10 +119,10 @@
         assert_eq!(endpoint.refused, 0);
     }
 
-    /// A thousand accounts call once each. Half of what the endpoint takes stays free, for transactions and
-    /// for a successor, and nobody is refused.
+    /// A thousand accounts call once each. Half of the endpoint's connections must stay free, for
+    /// transactions and for a successor, and nobody may be refused.
     accounts_that_call_once_leave_half_of_the_endpoint_free {
-        let mut endpoint = ReplayedEndpoint::new();
+        let mut endpoint = SimulatedEndpoint::new();
         for number in 0..1_000 {
             endpoint.pass(Duration::from_millis(10));
             endpoint.run(&format!("once-{number}"), RUN);
@@ -130,20 +131,20 @@
         assert_eq!(endpoint.refused, 0);
     }
 
-    /// One account turns hot: forty of its statements run at once. It gets a connection for each, beyond
-    /// the half that is kept, as long as the endpoint takes more.
-    account_that_turns_hot_gets_what_it_needs {
-        let mut endpoint = ReplayedEndpoint::new();
+    /// Forty statements of one account run at the same time. Each must get a connection, beyond the
+    /// half that is kept for accounts, as long as the endpoint takes more.
+    concurrent_statements_of_one_account_get_a_connection_each {
+        let mut endpoint = SimulatedEndpoint::new();
         for _ in 0..40 {
             endpoint.run("hot", Duration::from_secs(1));
         }
         assert_eq!((endpoint.opened, endpoint.refused), (40, 0));
     }
 
-    /// The endpoint takes five of ours at present, since it still counts those of a lost leaseholder. More
-    /// accounts than that are served by turns, and one more is opened for none.
+    /// The endpoint takes only five connections at present, since it still counts those of a lost
+    /// leaseholder. More accounts than that must be served in turn, without a sixth connection.
     full_endpoint_is_shared_by_turns {
-        let mut endpoint = ReplayedEndpoint::new();
+        let mut endpoint = SimulatedEndpoint::new();
         endpoint.room = 5;
         for number in 0..100 {
             endpoint.pass(Duration::from_millis(10));
@@ -153,8 +154,8 @@
         assert_eq!(endpoint.refused, 0);
     }
 
-    /// A connection is opened ahead for the account that calls most for each one that it has, and for
-    /// nobody while nobody calls.
+    /// A connection is opened ahead for the account with the most statements for each of its
+    /// connections, and for none while no account calls.
     connections_are_opened_ahead_for_those_that_call {
         let now = ClockTime::from_millis(5_000);
         let (often, seldom): (AccountName, AccountName) = ("often".into(), "seldom".into());
--- a/crates/policy/tests/account_limits.rs
+++ b/crates/policy/tests/account_limits.rs
@@ -1,4 +1,5 @@
-//! An account's limit over several VMs, replayed in virtual time with cuts, freezes and lost ledgers.
+//! Simulation in virtual time of an account's limit over several VMs, with partitions, freezes and
+//! lost ledgers.
 
 use ragwort_policy::ClockTime;
 use ragwort_policy::LedgerBook;
@@ -20,18 +21,18 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The step of the replayed time.
+/// The step of the simulated time.
 const STEP: Duration = Duration::from_millis(10);
 
-/// The span over which the limit counts.
+/// The span over which the limit is counted.
 const SPAN: Duration = Duration::from_secs(5);
 
-/// Operations beyond the limit that are tolerated in a span, and the part of the limit.
-const SLACK: u32 = 20;
-const OVERSHOOT: f64 = 0.1;
+/// The tolerated excess over the limit in a span, in operations and as a fraction of the limit.
+const TOLERATED_OPERATIONS: u32 = 20;
+const TOLERATED_FRACTION: f64 = 0.1;
 
-/// How long a question that isn't answered is waited for.
-const ANSWER_LIMIT: Duration = Duration::from_millis(200);
+/// The timeout of a call to the ledger.
+const CALL_TIMEOUT: Duration = Duration::from_millis(200);
 
 const VMS: usize = 5;
 
@@ -43,26 +44,26 @@
     )*};
 }
 
-/// A question on its way.
-struct AskedQuestion {
+/// A call to the ledger that is under way.
+struct LedgerCall {
     sent: ClockTime,
-    /// When it arrives, and when its answer does.
+    /// The arrival of the call and of its answer.
     arrives: ClockTime,
     returns: ClockTime,
     keeper: usize,
     declares: bool,
     needs: Vec<AccountNeed>,
     grants: Option<Vec<AccountGrant>>,
-    asked: bool,
+    received: bool,
 }
 
 struct SimulatedVm {
     shares: LimitShares,
     book: LedgerBook,
-    /// Whom it takes for the ledger's keeper, and the placement's epoch.
+    /// The VM that it believes to keep the ledger, and the placement epoch.
     keeper: (usize, u64),
-    told: (usize, u64),
-    question: Option<AskedQuestion>,
+    declared_to: (usize, u64),
+    call: Option<LedgerCall>,
     cut: bool,
     frozen_until: ClockTime,
     started: ClockTime,
@@ -78,8 +79,8 @@
             shares,
             book: LedgerBook::new(tolerance()),
             keeper: (0, 1),
-            told: (usize::MAX, 0),
-            question: None,
+            declared_to: (usize::MAX, 0),
+            call: None,
             cut: false,
             frozen_until: ClockTime::default(),
             started,
@@ -89,13 +90,13 @@
     }
 }
 
-/// Five VMs on which one account's callers ask.
-struct LimitWorld {
+/// Five VMs that admit operations of one account.
+struct LimitSimulation {
     random: StdRng,
     now: ClockTime,
     vms: Vec<SimulatedVm>,
     limit: AccountLimit,
-    /// Who keeps the ledger now; `None` between two keepers.
+    /// The VM that keeps the ledger now; `None` between two keepers.
     keeper: Option<usize>,
     epoch: u64,
     begins: Vec<ClockTime>,
@@ -103,8 +104,8 @@
 
 fn tolerance() -> LimitTolerance {
     LimitTolerance {
-        operations: SLACK,
-        per_mille: (OVERSHOOT * 1_000.0) as u32,
+        operations: TOLERATED_OPERATIONS,
+        per_mille: (TOLERATED_FRACTION * 1_000.0) as u32,
     }
 }
 
@@ -124,7 +125,7 @@
     (0..VMS).map(vm_name).collect()
 }
 
-impl LimitWorld {
+impl LimitSimulation {
     fn new(seed: u64, rate: u64, burst: u64) -> Self {
         let vm = |_| SimulatedVm::new(ClockTime::default());
         Self {
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Goes on for one step in which each VM is asked for this many operations a second.
+    /// Advances by one step in which each VM gets this many operations per second.
     fn step(&mut self, demand: &[f64; VMS]) {
         self.now = self.now + STEP;
         for (number, demand) in demand.iter().enumerate() {
@@ -149,8 +150,8 @@
                 continue;
             }
             self.take_arrivals(number, *demand);
-            self.follow_home(number);
-            self.carry_question(number);
+            self.update_keeper(number);
+            self.advance_call(number);
             self.ask(number);
         }
     }
@@ -169,13 +170,13 @@
         }
     }
 
-    fn follow_home(&mut self, number: usize) {
+    fn update_keeper(&mut self, number: usize) {
         let vm = &mut self.vms[number];
         let leads = self.keeper == Some(number);
         let led = leads.then(|| (home(), PlacementEpoch(self.epoch)));
         vm.book
             .follow_homes(self.now, &led.into_iter().collect::<BTreeMap<_, _>>());
-        // The others hear of a new keeper some time later.
+        // The other VMs learn of a new keeper some time later.
         if let Some(keeper) = self.keeper
             && (leads || self.random.random_bool(0.05))
         {
@@ -195,46 +196,46 @@
     fn ask(&mut self, number: usize) {
         let now = self.now;
         let vm = &mut self.vms[number];
-        if vm.question.is_some() {
+        if vm.call.is_some() {
             return;
         }
         let mut needs = vm.shares.due_needs(now, |_| true);
-        let declares = vm.told != vm.keeper;
+        let declares = vm.declared_to != vm.keeper;
         if declares && needs.is_empty() {
             needs = vm.shares.list_held(now, |_| true);
         }
         if needs.is_empty() && !declares {
             return;
         }
-        vm.told = vm.keeper;
-        let way = Duration::from_millis(self.random.random_range(0..30));
-        vm.question = Some(AskedQuestion {
+        vm.declared_to = vm.keeper;
+        let latency = Duration::from_millis(self.random.random_range(0..30));
+        vm.call = Some(LedgerCall {
             sent: now,
-            arrives: now + way,
-            returns: now + way * 2,
+            arrives: now + latency,
+            returns: now + latency * 2,
             keeper: vm.keeper.0,
             declares,
             needs,
             grants: None,
-            asked: false,
+            received: false,
         });
     }
 
-    fn carry_question(&mut self, number: usize) {
+    fn advance_call(&mut self, number: usize) {
         let now = self.now;
-        let Some(mut question) = self.vms[number].question.take() else {
+        let Some(mut call) = self.vms[number].call.take() else {
             return;
         };
-        let keeper = question.keeper;
+        let keeper = call.keeper;
         let reached = !self.vms[number].cut && !self.vms[keeper].cut;
         let awake = now >= self.vms[keeper].frozen_until;
-        if !question.asked && now >= question.arrives && reached && awake {
-            question.asked = true;
+        if !call.received && now >= call.arrives && reached && awake {
+            call.received = true;
             let holders = names();
             let holder = vm_name(number);
             let started = self.vms[number].started;
             let book = &mut self.vms[keeper].book;
-            let lent = question.needs.iter().filter_map(|need| {
+            let lent = call.needs.iter().filter_map(|need| {
                 let question = LedgerQuestion {
                     holder: &holder,
                     started,
@@ -244,44 +245,44 @@
                 };
                 book.lend(now, question, need)
             });
-            question.grants = Some(lent.collect());
-            if question.declares {
+            call.grants = Some(lent.collect());
+            if call.declares {
                 book.note_declared(&home(), &holder, started);
             }
         }
         let vm = &mut self.vms[number];
-        let late = now.since(question.sent) >= ANSWER_LIMIT;
-        let answered = question.asked && now >= question.returns && reached;
+        let late = now.since(call.sent) >= CALL_TIMEOUT;
+        let answered = call.received && now >= call.returns && reached;
         if !answered && !late {
-            vm.question = Some(question);
+            vm.call = Some(call);
             return;
         }
         if !answered {
-            vm.told = (usize::MAX, 0);
+            vm.declared_to = (usize::MAX, 0);
         }
-        let grants = question.grants.filter(|_| answered).unwrap_or_default();
-        for need in &question.needs {
+        let grants = call.grants.filter(|_| answered).unwrap_or_default();
+        for need in &call.needs {
             let shares = &mut self.vms[number].shares;
             let grant = grants.iter().find(|grant| grant.account == need.account);
             let end = match grant {
-                Some(grant) => shares.take_grant(now, question.sent, grant),
+                Some(grant) => shares.take_grant(now, call.sent, grant),
                 None => shares.give_up(now, &need.account),
             };
             self.settle(number, end);
         }
     }
 
-    /// Replaces the keeper of the ledger; the new one begins after `gap`.
-    fn lose_keeper(&mut self) {
+    /// Stops the keeper of the ledger.
+    fn stop_keeper(&mut self) {
         self.keeper = None;
     }
 
-    fn find_keeper(&mut self, keeper: usize) {
+    fn start_keeper(&mut self, keeper: usize) {
         self.epoch += 2;
         self.keeper = Some(keeper);
     }
 
-    /// Ends all processes and starts them again.
+    /// Kills all processes and starts them again.
     fn restart_all(&mut self) {
         self.keeper = None;
         for vm in &mut self.vms {
@@ -291,10 +292,10 @@
         }
     }
 
-    /// Checks each span that begins with an operation.
+    /// Checks every span that starts with an operation.
     fn check_spans(&self) {
         let limit = self.limit.rate() * SPAN.as_secs_f64() + self.limit.burst as f64;
-        let most = limit * (1.0 + OVERSHOOT) + f64::from(SLACK);
+        let most = limit * (1.0 + TOLERATED_FRACTION) + f64::from(TOLERATED_OPERATIONS);
         let mut first = 0;
         for (last, begun) in self.begins.iter().enumerate() {
             while begun.since(self.begins[first]) > SPAN {
@@ -308,88 +309,90 @@
         }
     }
 
-    fn refused_part(&self) -> f64 {
+    fn refused_fraction(&self) -> f64 {
         let refused: u32 = self.vms.iter().map(|vm| vm.refused).sum();
         let begun: u32 = self.vms.iter().map(|vm| vm.begun).sum();
         f64::from(refused) / f64::from((refused + begun).max(1))
     }
 }
 
-/// Runs for so many seconds.
-fn run(world: &mut LimitWorld, seconds: u64, demand: [f64; VMS]) {
-    let end = world.now + Duration::from_secs(seconds);
-    while world.now < end {
-        world.step(&demand);
+/// Runs for this many seconds.
+fn run(simulation: &mut LimitSimulation, seconds: u64, demand: [f64; VMS]) {
+    let end = simulation.now + Duration::from_secs(seconds);
+    while simulation.now < end {
+        simulation.step(&demand);
     }
 }
 
 limit_cases! {
-    /// An account's callers ask for two and a half times what it may, by all VMs at once. A VM that let in
-    /// what it thinks fair on its own would make it several times the limit.
+    /// An account's callers ask for two and a half times its limit, through all VMs at once. If
+    /// each VM admitted what it considers fair on its own, the total would be several times the
+    /// limit.
     demand_beyond_the_limit_is_held_to_it {
         for (seed, rate) in [(1, 179), (2, 20), (3, 3), (4, 1)] {
-            let mut world = LimitWorld::new(seed, rate, rate);
-            run(&mut world, 20, [rate as f64 / 2.0; VMS]);
-            world.check_spans();
-            let begun = world.begins.len() as f64;
+            let mut simulation = LimitSimulation::new(seed, rate, rate);
+            run(&mut simulation, 20, [rate as f64 / 2.0; VMS]);
+            simulation.check_spans();
+            let begun = simulation.begins.len() as f64;
             assert!(begun >= 20.0 * rate as f64 * 0.75, "only {begun} at a rate of {rate}");
         }
     }
 
-    /// Steady work below the limit is let in, whether it comes by all VMs alike, by one alone, or moves
-    /// from one to the other: what is refused below a limit is lost to its callers.
+    /// Steady work below the limit must be admitted, whether it arrives at all VMs alike, at one
+    /// alone, or moves from one to another. What is refused below a limit is lost to its callers.
     steady_work_below_the_limit_is_let_in {
         for rate in [160.0, 16.0, 3.2] {
             let limit = rate as u64 + 1;
-            let mut world = LimitWorld::new(7, limit, limit);
+            let mut simulation = LimitSimulation::new(7, limit, limit);
             let fair = rate / 1.6;
-            run(&mut world, 10, [fair / VMS as f64; VMS]);
+            run(&mut simulation, 10, [fair / VMS as f64; VMS]);
             let mut alone = [0.0; VMS];
             alone[2] = fair;
-            run(&mut world, 10, alone);
+            run(&mut simulation, 10, alone);
             alone.swap(2, 4);
-            run(&mut world, 10, alone);
-            let refused = world.refused_part();
+            run(&mut simulation, 10, alone);
+            let refused = simulation.refused_fraction();
             assert!(refused < 0.02, "{refused} refused at a rate of {rate}");
-            world.check_spans();
+            simulation.check_spans();
         }
     }
 
-    /// A limit is lowered far below what its account asks for. All shares go down with it at once, without
-    /// a word from the ledger.
-    lowered_limit_binds_what_was_lent_before {
-        let mut world = LimitWorld::new(11, 200, 200);
-        run(&mut world, 10, [25.0; VMS]);
-        world.limit = AccountLimit {
+    /// A limit is lowered far below its account's demand. All shares must shrink with it at once,
+    /// without an answer from the ledger.
+    lowered_limit_applies_to_existing_shares {
+        let mut simulation = LimitSimulation::new(11, 200, 200);
+        run(&mut simulation, 10, [25.0; VMS]);
+        simulation.limit = AccountLimit {
             per_thousand_seconds: 20_000,
             burst: 20,
         };
-        run(&mut world, 1, [25.0; VMS]);
-        world.begins.clear();
-        run(&mut world, 10, [25.0; VMS]);
-        world.check_spans();
+        run(&mut simulation, 1, [25.0; VMS]);
+        simulation.begins.clear();
+        run(&mut simulation, 10, [25.0; VMS]);
+        simulation.check_spans();
     }
 
-    /// The VM that keeps the ledger is lost and replaced 1.6 s later. Those that hold shares go on with
-    /// them, and the new ledger renews what they declare.
-    steady_work_outlives_its_ledger {
-        let mut world = LimitWorld::new(13, 100, 100);
-        run(&mut world, 10, [12.0; VMS]);
-        world.lose_keeper();
-        run(&mut world, 1, [12.0; VMS]);
+    /// The VM that keeps the ledger is lost and replaced 1.6 s later. Holders of shares must go on
+    /// with them, and the new ledger must renew the shares that they declare.
+    steady_work_survives_the_loss_of_its_ledger {
+        let mut simulation = LimitSimulation::new(13, 100, 100);
+        run(&mut simulation, 10, [12.0; VMS]);
+        simulation.stop_keeper();
+        run(&mut simulation, 1, [12.0; VMS]);
         for _ in 0..60 {
-            world.step(&[12.0; VMS]);
+            simulation.step(&[12.0; VMS]);
         }
-        world.find_keeper(3);
-        run(&mut world, 10, [12.0; VMS]);
-        let refused = world.refused_part();
+        simulation.start_keeper(3);
+        run(&mut simulation, 10, [12.0; VMS]);
+        let refused = simulation.refused_fraction();
         assert!(refused < 0.02, "{refused} refused");
-        world.check_spans();
+        simulation.check_spans();
     }
 
-    /// A VM declares what it holds before the one that is to keep the ledgers knows that it does. That isn't
-    /// taken, and said so: were it taken for done, the ledger would lend next to nothing for two seconds.
-    declaration_that_comes_too_early_is_not_taken {
+    /// A VM declares its shares before the new keeper of the ledgers knows that it is one. The
+    /// declaration must be rejected: if it counted as done, the ledger would lend next to nothing
+    /// for two seconds.
+    early_declaration_is_rejected {
         let mut book = LedgerBook::new(tolerance());
         let now = ClockTime::from_millis(9_000);
         assert!(!book.note_declared(&home(), &vm_name(1), now));
@@ -398,67 +401,68 @@
         assert!(book.note_declared(&home(), &vm_name(1), now));
     }
 
-    /// All processes are killed, and a second later all callers are back at once, twice as many as usual.
-    /// A ledger that took what it doesn't know for spent would refuse most of them for seconds.
+    /// All processes are killed, and a second later all callers are back at once, with twice the
+    /// usual demand. A ledger that treated unknown shares as used up would refuse most of them for
+    /// seconds.
     callers_are_let_in_after_all_vms_were_killed {
-        let mut world = LimitWorld::new(17, 160, 160);
-        run(&mut world, 10, [20.0; VMS]);
-        world.restart_all();
+        let mut simulation = LimitSimulation::new(17, 160, 160);
+        run(&mut simulation, 10, [20.0; VMS]);
+        simulation.restart_all();
         for _ in 0..40 {
-            world.step(&[0.0; VMS]);
+            simulation.step(&[0.0; VMS]);
         }
-        world.find_keeper(2);
+        simulation.start_keeper(2);
         for _ in 0..20 {
-            world.step(&[0.0; VMS]);
+            simulation.step(&[0.0; VMS]);
         }
-        let before = (world.begins.len(), world.vms.iter().map(|vm| vm.refused).sum::<u32>());
-        run(&mut world, 1, [40.0; VMS]);
-        let refused = world.vms.iter().map(|vm| vm.refused).sum::<u32>() - before.1;
-        let begun = world.begins.len() - before.0;
+        let before = (simulation.begins.len(), simulation.vms.iter().map(|vm| vm.refused).sum::<u32>());
+        run(&mut simulation, 1, [40.0; VMS]);
+        let refused = simulation.vms.iter().map(|vm| vm.refused).sum::<u32>() - before.1;
+        let begun = simulation.begins.len() - before.0;
         assert!(begun > 2 * refused as usize, "{refused} refused, {begun} begun");
-        run(&mut world, 5, [20.0; VMS]);
-        world.check_spans();
+        run(&mut simulation, 5, [20.0; VMS]);
+        simulation.check_spans();
     }
 
-    /// VMs are cut off, freeze and wake with shares that have ended, and ledgers are lost, while callers ask
-    /// for anything between nothing and five times the limit. Whatever happens, no span has more than the
-    /// limit and what is tolerated beyond it.
+    /// VMs are cut off, freeze and wake with expired shares, and ledgers are lost, while the demand
+    /// varies between nothing and five times the limit. No span may have more operations than the
+    /// limit and the tolerance allow.
     no_span_exceeds_the_limit_whatever_fails {
         for seed in 0..60 {
-            let mut world = LimitWorld::new(1_000 + seed, 0, 0);
+            let mut simulation = LimitSimulation::new(1_000 + seed, 0, 0);
             let rate = *[2, 10, 60, 179].get(seed as usize % 4).unwrap();
-            world.limit = AccountLimit { per_thousand_seconds: rate * 1_000, burst: rate };
+            simulation.limit = AccountLimit { per_thousand_seconds: rate * 1_000, burst: rate };
             let mut demand = [0.0; VMS];
             for step in 0..3_000_u32 {
                 if step % 50 == 0 {
                     for part in &mut demand {
-                        *part = world.random.random_range(0.0..rate as f64);
+                        *part = simulation.random.random_range(0.0..rate as f64);
                     }
                 }
-                if world.random.random_bool(0.01) {
-                    let number = world.random.random_range(0..VMS);
-                    let cut = world.vms[number].cut;
-                    world.vms[number].cut = !cut;
+                if simulation.random.random_bool(0.01) {
+                    let number = simulation.random.random_range(0..VMS);
+                    let cut = simulation.vms[number].cut;
+                    simulation.vms[number].cut = !cut;
                 }
-                if world.random.random_bool(0.003) {
-                    let number = world.random.random_range(0..VMS);
-                    let time = Duration::from_millis(world.random.random_range(100..4_000));
-                    world.vms[number].frozen_until = world.now + time;
+                if simulation.random.random_bool(0.003) {
+                    let number = simulation.random.random_range(0..VMS);
+                    let time = Duration::from_millis(simulation.random.random_range(100..4_000));
+                    simulation.vms[number].frozen_until = simulation.now + time;
                 }
-                if world.random.random_bool(0.003) {
-                    world.lose_keeper();
+                if simulation.random.random_bool(0.003) {
+                    simulation.stop_keeper();
                 }
-                if world.random.random_bool(0.002) {
-                    world.restart_all();
+                if simulation.random.random_bool(0.002) {
+                    simulation.restart_all();
                 }
-                if world.keeper.is_none() && world.random.random_bool(0.02) {
-                    let keeper = world.random.random_range(0..VMS);
-                    world.find_keeper(keeper);
+                if simulation.keeper.is_none() && simulation.random.random_bool(0.02) {
+                    let keeper = simulation.random.random_range(0..VMS);
+                    simulation.start_keeper(keeper);
                 }
-                world.step(&demand);
+                simulation.step(&demand);
             }
-            eprintln!("seed={seed} rate={rate} begun={}", world.begins.len());
-            world.check_spans();
+            eprintln!("seed={seed} rate={rate} begun={}", simulation.begins.len());
+            simulation.check_spans();
         }
     }
 }
--- a/crates/policy/tests/doubt.rs
+++ b/crates/policy/tests/connection_validation.rs
@@ -1,4 +1,4 @@
-//! Connections that have to prove that they still answer.
+//! Scheduling while connections are validated.
 
 use ragwort_policy::ArrivalDecision;
 use ragwort_policy::ClockTime;
@@ -19,39 +19,39 @@
 use ragwort_types::UrgencyClass;
 use std::time::Duration;
 
-macro_rules! doubt_cases {
+macro_rules! validation_cases {
     ($($(#[$doc:meta])* $name:ident => $case:ident;)*) => {$(
         $(#[$doc])*
         #[test]
         fn $name() {
-            $case(DoubtBench::start());
+            $case(ValidationBench::start());
         }
     )*};
 }
 
-doubt_cases! {
-    /// One connection has gone silent, and the others may have been forgotten with it. A duty
-    /// officer's write waits for a new connection, which takes 12 ms, and not behind a ping whose
-    /// answer may never come.
+validation_cases! {
+    /// One connection has gone silent, and the path may have dropped the state of the others as
+    /// well. A duty officer's write must wait for a new connection, which takes 12 ms, and not
+    /// behind a ping that may never be answered.
     write_waits_for_a_new_connection => new_connection_case;
-    /// The connections prove that they answer: the write goes at once.
-    write_goes_when_the_doubt_ends => proof_case;
-    /// Doubt comes again and again. Connections in doubt count towards the endpoint's budget, so
-    /// that it isn't filled up and the next leaseholder finds room.
-    doubt_stays_within_the_budget => budget_case;
+    /// The connections answer: the write must be sent at once.
+    write_is_sent_when_validation_ends => validation_end_case;
+    /// Connections are validated again and again. Those under validation must count towards the
+    /// endpoint's budget, so that the next leaseholder finds room.
+    validation_stays_within_the_budget => budget_case;
 }
 
-/// What an endpoint takes, less what a leaseholder leaves for its successor.
+/// The endpoint's connections, less those that a leaseholder leaves for its successor.
 const BUDGET: usize = 13;
 
-struct DoubtBench {
+struct ValidationBench {
     scheduler: GroupScheduler,
     primary: InstanceName,
     now: ClockTime,
     open: usize,
 }
 
-impl DoubtBench {
+impl ValidationBench {
     /// Starts with a primary and the connections that are opened ahead.
     fn start() -> Self {
         let settings = SchedulerSettings::new(7, "windhoek-a".into());
@@ -89,7 +89,7 @@
         self.scheduler.poll(self.now)
     }
 
-    /// Opens what the scheduler wants to have open, and returns how many that were.
+    /// Opens the connections that the scheduler asks for and returns their number.
     fn open_wanted(&mut self) -> usize {
         let decisions = self.poll();
         let opened = decisions
@@ -103,7 +103,7 @@
         opened
     }
 
-    fn doubt_all(&mut self) {
+    fn start_validations(&mut self) {
         for _ in 0..self.open {
             self.scheduler.connection_doubted(&self.primary);
         }
@@ -138,8 +138,8 @@
     decisions.any(|one| matches!(one, SchedulerDecision::Dispatch(_)))
 }
 
-fn new_connection_case(mut bench: DoubtBench) {
-    bench.doubt_all();
+fn new_connection_case(mut bench: ValidationBench) {
+    bench.start_validations();
     bench.arrive();
     let decisions = bench.poll();
     assert!(!is_dispatched(&decisions), "{decisions:?}");
@@ -149,17 +149,17 @@
     assert!(is_dispatched(&bench.poll()));
 }
 
-fn proof_case(mut bench: DoubtBench) {
-    bench.doubt_all();
+fn validation_end_case(mut bench: ValidationBench) {
+    bench.start_validations();
     bench.arrive();
     assert!(!is_dispatched(&bench.poll()));
     bench.scheduler.doubt_ended(&bench.primary);
     assert!(is_dispatched(&bench.poll()));
 }
 
-fn budget_case(mut bench: DoubtBench) {
+fn budget_case(mut bench: ValidationBench) {
     for _ in 0..20 {
-        bench.doubt_all();
+        bench.start_validations();
         while bench.open_wanted() > 0 {}
         assert!(bench.open <= BUDGET, "{}", bench.open);
     }
--- a/crates/policy/tests/connections.rs
+++ b/crates/policy/tests/connections.rs
@@ -1,4 +1,4 @@
-//! How many connections an endpoint's load holds open.
+//! Number of connections that a load keeps open to an endpoint.
 
 #[expect(dead_code, reason = "this load has no reads")]
 mod fixture;
@@ -19,13 +19,13 @@
 use ragwort_types::InstanceName;
 use std::time::Duration;
 
-/// How long the endpoint takes to open a connection.
-const OPENING: Duration = Duration::from_millis(12);
+/// The time in which the endpoint opens a connection.
+const CONNECT_TIME: Duration = Duration::from_millis(12);
 
-/// How long it takes for a statement.
-const RUN: Duration = Duration::from_millis(10);
+/// The run time of a statement.
+const RUN_TIME: Duration = Duration::from_millis(10);
 
-/// The step of the replayed time.
+/// The step of the simulated time.
 const STEP: Duration = Duration::from_millis(1);
 
 macro_rules! load_cases {
@@ -39,41 +39,42 @@
 }
 
 load_cases! {
-    /// Endpoints can run ninety statements at once, and callers send a few a second. A VM that leads some
-    /// groups held a connection for each slot, thousands together: each took memory and was asked every
-    /// other second whether it still answers, until the VM had no descriptor left for its own kind, lost its
-    /// lease with all its groups, or was killed for its memory.
+    /// An endpoint can run ninety statements at once, and callers send a few a second. A VM that
+    /// led some groups held a connection for each slot, thousands in all. Each took memory and was
+    /// validated every other second, until the VM had no descriptor left for its own calls, lost
+    /// its lease with all its groups, or was killed for its memory.
     few_statements_hold_few_connections => quiet_case();
-    /// Sixty callers ask at the same moment where two did before. Connections are opened for them within
-    /// some steps; two at a time, the last would wait for 360 ms.
+    /// Sixty callers ask at the same moment where two did before. Their connections must be opened
+    /// within some steps; two at a time, the last one would wait for 360 ms.
     burst_has_its_connections_soon => burst_case();
-    /// After the burst, the connections that it needed are given back: left open, those of each peak
-    /// would stay for good.
-    connections_of_a_burst_are_given_back => return_case();
-    /// The load comes in waves of some seconds. What a wave needs isn't closed in its trough: each new
-    /// connection takes a slot for as long as a statement does.
+    /// After a burst, the connections that it needed must be given back. If they stayed open, those
+    /// of each peak would remain for good.
+    connections_of_a_burst_are_given_back => surplus_case();
+    /// The load alternates every two seconds. Connections that a peak needs must not be closed in
+    /// the trough after it: each new connection takes a slot for as long as a statement does.
     waves_keep_their_connections => wave_case();
-    /// Two of five VMs are lost, and each of the others leads the groups of many: hundreds of endpoints that
-    /// hardly anybody calls. With some connections for each, as where a VM has few endpoints, the VM had no
-    /// descriptor left, and nobody was served.
+    /// Two of five VMs are lost, and each of the others leads many groups: hundreds of endpoints
+    /// that hardly anybody calls. With as many connections for each as where a VM has few
+    /// endpoints, the VM had no descriptor left, and nobody was served.
     many_endpoints_share_what_is_kept_open => shared_case();
-    /// Connections that prove that they still answer were replaced ahead, and the replacements closed when they
-    /// had: a VM with many endpoints opened hundreds of connections a second that no load needed.
-    connections_in_doubt_are_not_opened_and_closed_in_turn => doubt_case();
-    /// The connections of a VM are near the most that it may hold. Those that nothing uses are given up, and
-    /// none is opened but for requests that wait for one.
+    /// Connections under validation were replaced ahead, and the replacements closed after it. A VM
+    /// with many endpoints opened hundreds of connections a second that no load needed.
+    connections_under_validation_are_not_opened_and_closed_in_turn => validation_case();
+    /// A VM's connections are near their limit. Unused ones must be closed, and new ones opened
+    /// only for requests that wait for one.
     scarce_connections_serve_what_waits => scarce_case();
-    /// What was closed as scarce was opened ahead at the next moment, and closed again: the VM opened hundreds of
-    /// connections a second.
-    scarcity_lasts_until_there_is_room => lasting_case();
-    /// Each connection belongs to one account, and a VM leads dozens of groups that hardly anybody calls.
-    /// Opened ahead as for callers that share them, eight for each endpoint, they were of no use to the
-    /// account that called next, and their upkeep took the VM's descriptors and most of its processor.
+    /// Connections that were closed as scarce were opened ahead at the next moment and closed
+    /// again. The VM opened hundreds of connections a second.
+    scarcity_has_hysteresis => hysteresis_case();
+    /// Connections are bound to accounts, and a VM leads dozens of groups that hardly anybody
+    /// calls. Opened ahead as for callers that share them, eight for each endpoint, they were of no
+    /// use to the account that called next, and took the VM's descriptors and most of its
+    /// processor.
     connections_of_accounts_are_not_opened_for_slots => account_case();
 }
 
-/// A primary of many slots, with time that the test moves.
-struct ReplayedLoad {
+/// A primary with many slots, in simulated time.
+struct SimulatedLoad {
     scheduler: GroupScheduler,
     now: ClockTime,
     last_ticket: u64,
@@ -84,7 +85,7 @@
     served: usize,
 }
 
-impl ReplayedLoad {
+impl SimulatedLoad {
     fn start() -> Self {
         let mut scheduler = create_group(1_000, "north", ExcessRule::Forbidden);
         let now = ClockTime(1_000_000);
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Lets time pass; requests arrive `count` at once every `pause`.
+    /// Advances the time by `time`; `count` requests arrive together every `pause`.
     fn pass(&mut self, time: Duration, count: usize, pause: Duration) {
         let end = self.now + time;
         let mut due = self.now;
@@ -145,9 +146,11 @@
         }
         for decision in self.scheduler.poll(now) {
             match decision {
-                SchedulerDecision::Dispatch(order) => self.runs.push((now + RUN, order.ticket)),
+                SchedulerDecision::Dispatch(order) => {
+                    self.runs.push((now + RUN_TIME, order.ticket))
+                }
                 SchedulerDecision::OpenConnection(instance) if instance == primary => {
-                    self.openings.push(now + OPENING);
+                    self.openings.push(now + CONNECT_TIME);
                     self.openings_begun += 1;
                 }
                 SchedulerDecision::OpenConnection(_) | SchedulerDecision::Refuse(_) => {}
@@ -160,7 +163,7 @@
         self.scheduler.surplus_connections(&PRIMARY.into())
     }
 
-    /// Closes what can be closed.
+    /// Closes all surplus connections.
     fn close_surplus(&mut self) {
         while self.surplus() > 0 {
             self.scheduler.connection_closed(&PRIMARY.into());
@@ -170,15 +173,15 @@
 }
 
 fn quiet_case() {
-    let mut load = ReplayedLoad::start();
+    let mut load = SimulatedLoad::start();
     load.pass(Duration::from_secs(20), 2, Duration::from_millis(100));
     assert!(load.served >= 398, "{}", load.served);
-    // Some for what runs at once, not one for each of ninety slots.
+    // Some for the statements that run at the same time, but not one for each of ninety slots.
     assert!(load.opened <= 16, "{}", load.opened);
 }
 
 fn burst_case() {
-    let mut load = ReplayedLoad::start();
+    let mut load = SimulatedLoad::start();
     load.pass(Duration::from_secs(1), 2, Duration::from_millis(100));
     let before = load.served;
     load.arrive(60);
@@ -186,13 +189,14 @@
     while load.served < before + 60 {
         load.step();
     }
-    // As many run at once as connections are open; it takes a fraction of what two at a time would.
+    // As many run at once as connections are open; this is a fraction of the time of opening two at
+    // a time.
     let took = load.now.since(begun);
     assert!(took <= Duration::from_millis(60), "{took:?}");
 }
 
-fn return_case() {
-    let mut load = ReplayedLoad::start();
+fn surplus_case() {
+    let mut load = SimulatedLoad::start();
     load.arrive(60);
     load.pass(Duration::from_secs(1), 2, Duration::from_millis(100));
     let most = load.opened;
@@ -206,7 +210,7 @@
 }
 
 fn shared_case() {
-    let mut load = ReplayedLoad::start();
+    let mut load = SimulatedLoad::start();
     let allowance = ConnectionAllowance {
         most: 2_048,
         held: 700,
@@ -221,8 +225,8 @@
     assert_eq!(load.served, 4);
 }
 
-fn doubt_case() {
-    let mut load = ReplayedLoad::start();
+fn validation_case() {
+    let mut load = SimulatedLoad::start();
     let primary = InstanceName::from(PRIMARY);
     load.scheduler.set_allowance(ConnectionAllowance {
         most: 2_048,
@@ -233,12 +237,12 @@
     load.pass(Duration::from_secs(1), 0, Duration::from_secs(1));
     let before = load.openings_begun;
     for _ in 0..100 {
-        let doubted = load.opened;
-        for _ in 0..doubted {
+        let validating = load.opened;
+        for _ in 0..validating {
             load.scheduler.connection_doubted(&primary);
         }
         load.pass(Duration::from_millis(50), 0, Duration::from_secs(1));
-        for _ in 0..doubted {
+        for _ in 0..validating {
             load.scheduler.doubt_ended(&primary);
         }
         load.close_surplus();
@@ -249,7 +253,7 @@
 }
 
 fn scarce_case() {
-    let mut load = ReplayedLoad::start();
+    let mut load = SimulatedLoad::start();
     load.pass(Duration::from_secs(2), 4, Duration::from_millis(20));
     let allowance = ConnectionAllowance {
         most: 2_048,
@@ -268,7 +272,7 @@
     assert_eq!(load.opened, 1);
 }
 
-fn lasting_case() {
+fn hysteresis_case() {
     let mut allowance = ConnectionAllowance {
         most: 2_000,
         ..ConnectionAllowance::default()
@@ -286,7 +290,7 @@
 }
 
 fn account_case() {
-    let mut load = ReplayedLoad::start();
+    let mut load = SimulatedLoad::start();
     let primary = InstanceName::from(PRIMARY);
     load.scheduler
         .set_idle_accounts(&primary, std::iter::empty());
@@ -296,7 +300,7 @@
 }
 
 fn wave_case() {
-    let mut load = ReplayedLoad::start();
+    let mut load = SimulatedLoad::start();
     let mut most = 0;
     for _ in 0..10 {
         load.pass(Duration::from_secs(2), 30, Duration::from_millis(40));
--- a/crates/policy/tests/invariants.rs
+++ b/crates/policy/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold of a scheduler's decisions whatever happens, over random events.
+//! Invariants of a scheduler's decisions under random events.
 
 mod fixture;
 mod model;
@@ -17,8 +17,8 @@
     true
 }
 
-/// The same from another failure domain, with statements sent ahead.
-fn keeps_all_invariants_from_afar(events: Vec<GroupEvent>) -> bool {
+/// The same with a leaseholder in another failure domain and statements sent ahead.
+fn keeps_all_invariants_across_domains(events: Vec<GroupEvent>) -> bool {
     let mut model = GroupModel::new("south", ExcessRule::Waits);
     for event in &events {
         model.apply(event);
@@ -28,9 +28,9 @@
 
 macro_rules! seeded_cases {
     ($($name:ident($property:ident, $seed:expr, $size:expr, $runs:expr);)*) => {$(
-        /// Random requests, ends, losses, reports and changes of endpoints. No order of them may lead to
-        /// a slot or connection used twice, a read of missing or old data, a run after the deadline, two
-        /// answers for one request, or a refusal that comes later than it could.
+        /// Random requests, ends, losses, reports and changes of endpoints. No order of them may
+        /// lead to a slot or connection used twice, a read of missing or old data, a run after the
+        /// deadline, two answers for one request, or a refusal that comes later than possible.
         #[test]
         fn $name() {
             QuickCheck::new()
@@ -43,13 +43,13 @@
 
 seeded_cases! {
     short_histories(keeps_all_invariants, 1, 60, 4_000);
-    middle_histories(keeps_all_invariants, 2, 300, 2_000);
+    medium_histories(keeps_all_invariants, 2, 300, 2_000);
     long_histories(keeps_all_invariants, 3, 2_000, 400);
-    short_histories_from_afar(keeps_all_invariants_from_afar, 4, 60, 4_000);
-    long_histories_from_afar(keeps_all_invariants_from_afar, 5, 2_000, 400);
+    short_histories_across_domains(keeps_all_invariants_across_domains, 4, 60, 4_000);
+    long_histories_across_domains(keeps_all_invariants_across_domains, 5, 2_000, 400);
 }
 
-macro_rules! found_cases {
+macro_rules! regression_cases {
     ($($(#[$doc:meta])* $name:ident($property:ident: $($event:ident($($value:expr),*)),* $(,)?);)*) => {$(
         $(#[$doc])*
         #[test]
@@ -60,11 +60,11 @@
     )*};
 }
 
-found_cases! {
-    /// A request becomes overdue and is refused. One read less waits for the replicas then, so that
-    /// another stays there and makes a third one overdue: its caller learned of its refusal one poll too
-    /// late.
-    overdue_request_is_settled_at_once(keeps_all_invariants:
+regression_cases! {
+    /// A request misses its target and is refused. One read less waits for the replicas then, so
+    /// another read stays with them and a third one misses its target. Its caller learned of its
+    /// refusal one poll too late.
+    request_that_misses_its_target_is_settled_at_once(keeps_all_invariants:
         Remove(2), Arrive(49, 32241), Arrive(191, 26917), Report(1, 5, 653), Connect(1),
         Arrive(133, 12909), Connect(1), Arrive(29, 22538), Pass(15680), Pass(5535),
         Arrive(89, 20685), Pass(16968), Report(1, 7, 1), Pass(15237), Arrive(145, 56538),
@@ -82,33 +82,33 @@
     );
 
     /// A replica falls behind after the primary is gone. The read that waited for the replica was
-    /// refused only at the next review, because its lane was still the replicas'.
-    read_is_stranded_at_once(keeps_all_invariants:
+    /// refused only at the next review, because it was still in the replicas' lane.
+    unservable_read_is_refused_at_once(keeps_all_invariants:
         Arrive(125, 32219), Report(1, 6, 275), Remove(0), Report(1, 2, 111),
     );
 
-    /// A replica is removed while a request runs on it and comes back at once. Its position from before
-    /// was taken for the present one.
-    position_is_forgotten_with_its_endpoint(keeps_all_invariants:
+    /// A replica is removed while a request runs on it, and comes back at once. Its old position
+    /// was taken for its present one.
+    position_is_dropped_with_its_endpoint(keeps_all_invariants:
         Arrive(1, 47090), Connect(1), Arrive(183, 414), Report(1, 3, 1), Arrive(79, 42995),
         Remove(1), Change(1, 1, false), Connect(1), Finish(132, 97),
     );
 
-    /// A statement is sent ahead for a slot that is about to be free. The plan took the connection of the
-    /// run that still held the slot for idle.
-    statement_sent_ahead_needs_a_connection(keeps_all_invariants_from_afar:
+    /// A statement is sent ahead for a slot that is about to become free. The plan counted the
+    /// connection of the run that still held the slot as idle.
+    statement_sent_ahead_needs_a_connection(keeps_all_invariants_across_domains:
         Arrive(211, 46153), Connect(0), Pass(4074), Arrive(125, 44820), Pass(4656),
     );
 
-    /// A statement sent ahead holds its slot longer than planned, and the one behind it has no chance any
-    /// more. It learned so only one poll later.
-    statement_behind_one_sent_ahead_is_refused_at_once(keeps_all_invariants_from_afar:
+    /// A statement that was sent ahead holds its slot longer than planned, and the one behind it
+    /// can no longer meet its deadline. Its caller learned so one poll too late.
+    statement_behind_one_sent_ahead_is_refused_at_once(keeps_all_invariants_across_domains:
         Arrive(186, 53658), Connect(2), Change(2, 0, false), Arrive(30, 52316), Pass(17563),
         Arrive(50, 38128), Pass(11579), Pass(9057), Finish(140, 239),
     );
 
-    /// A transaction takes the only open connection. The plan still counted on it, so a request that
-    /// had to wait for another connection was refused later than could be known.
+    /// A transaction takes the only open connection. The plan still counted on it, so a request
+    /// that had to wait for another connection was refused later than possible.
     transaction_takes_the_connection(keeps_all_invariants:
         Arrive(1, 33155), Connect(0), Arrive(241, 49699), Finish(181, 62), Arrive(1, 41956),
         Finish(243, 58), Arrive(161, 19671), Arrive(242, 63686), Finish(175, 106), Remove(0),
@@ -119,8 +119,8 @@
         Begin(), Finish(206, 161), Pass(10521), Finish(115, 20), Finish(232, 0),
     );
 
-    /// A new request was refused after the plan had been made with it. The plan without it gave another
-    /// request no chance, which learned so one poll too late.
+    /// A new request was refused after the plan had been made with it. That plan let another
+    /// request miss its deadline, whose caller learned so one poll too late.
     refused_newcomer_is_not_planned(keeps_all_invariants:
         FailConnect(2), Connect(0), Connect(0), Arrive(203, 260), Arrive(115, 13753),
         Arrive(221, 46236), Arrive(210, 57715), Pass(9965), Pass(9977), Pass(3656),
--- a/crates/policy/tests/isolation.rs
+++ b/crates/policy/tests/isolation.rs
@@ -1,4 +1,4 @@
-//! A gateway that is cut off: how often others are tried, and when callers are sent away.
+//! Isolated gateways: how often others are tried, and when callers are refused.
 
 use ragwort_policy::ClockTime;
 use ragwort_policy::DetourPauses;
@@ -12,25 +12,26 @@
     ClockTime::from_millis(10_000 + millis)
 }
 
-/// Control is lost to all gateways for three seconds, and each has two statements a millisecond. Were each of
-/// them to go round the others, thousands of messages a second would keep all of them from coming back.
+/// Control is lost to all gateways for three seconds, and each has two statements a millisecond. If
+/// each statement tried the other gateways, thousands of messages a second would hinder their
+/// recovery.
 #[test]
-fn vain_tries_are_few() {
+fn failed_attempts_are_few() {
     let mut watch = IsolationWatch::default();
-    let mut tries = 0;
+    let mut attempts = 0;
     for statement in 0..6_000 {
         let now = at(statement / 2);
         if watch.may_try(now) {
-            tries += 1;
+            attempts += 1;
             watch.note_vain(now);
         }
     }
-    assert_eq!(tries, 15);
+    assert_eq!(attempts, 15);
     assert!(watch.is_isolated_for(at(3_000), NOTICE));
 }
 
-/// Only this gateway is cut off from control, and another one takes its statements. Sessions stay and new
-/// ones are taken.
+/// Only this gateway is cut off from control, and another one takes its statements. Sessions must
+/// stay and new ones be accepted.
 #[test]
 fn gateway_that_reaches_another_keeps_its_callers() {
     let mut watch = IsolationWatch::default();
@@ -43,10 +44,11 @@
     assert!(!watch.is_isolated_for(at(9_000), NOTICE));
 }
 
-/// A gateway reached nobody a while ago and had no callers since. It doesn't know how things stand, so the
-/// next session is let in to find out, and none is sent away for what was seen before.
+/// A gateway reached no other one a while ago and has had no callers since. That says nothing about
+/// the present: the next session must be accepted as a new attempt, and none be closed for the old
+/// one.
 #[test]
-fn old_tries_tell_nothing() {
+fn old_attempts_are_no_evidence() {
     let mut watch = IsolationWatch::default();
     watch.note_vain(at(0));
     assert!(!watch.is_isolated(at(500)));
@@ -56,8 +58,8 @@
 }
 
 /// Half of the gateways are cut off from control, and one group of three has lost its leaseholder.
-/// Statements for that group find no way. Those for the others must not wait with them: they were
-/// refused, up to 130 a second, though a neighbour would have brought them.
+/// Statements for that group find no route. Those for the others must not wait with them: up to 130
+/// a second were refused, though another gateway would have forwarded them.
 #[test]
 fn group_without_a_leaseholder_holds_up_its_own_statements_only() {
     let mut pauses = DetourPauses::default();
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits on what waits and on what is in flight.
+//! Limits on waiting requests and on requests in flight.
 
 mod fixture;
 
@@ -28,7 +28,7 @@
 const START: ClockTime = ClockTime(1_000_000);
 
 /// One session has filled its customer's queue. A request of another session of the same customer
-/// finds room: the last one of the flood gives way.
+/// must be admitted; the last request of the flood is refused in its place.
 #[test]
 fn flood_gives_way_in_a_full_queue() {
     let mut scheduler = create_group(20, "north", ExcessRule::Forbidden);
@@ -56,8 +56,8 @@
     assert_eq!(overload.collect::<Vec<_>>(), [RequestTicket(19)]);
 }
 
-/// A customer's queue is full of requests that are all alike. A newcomer that would be served last is
-/// the one that is refused.
+/// A customer's queue is full of equal requests. A new request that would be served last is the one
+/// that is refused.
 #[test]
 fn newcomer_is_refused_by_a_full_queue() {
     let mut scheduler = create_group(4, "north", ExcessRule::Forbidden);
@@ -71,7 +71,7 @@
 }
 
 /// One group's leaseholder hangs. Its requests must not fill the gateway's memory, and urgent ones
-/// still find room.
+/// must still be admitted.
 #[test]
 fn gateway_limits_what_is_in_flight() {
     let customers = [1, 2, 3].map(|number| CustomerTerms {
--- a/crates/policy/tests/link_watch.rs
+++ b/crates/policy/tests/link_watch.rs
@@ -1,4 +1,4 @@
-//! Silence on a link: when it is asked, and when it is given up.
+//! Failure detection on a link: when it is probed, and when it is given up.
 
 use ragwort_policy::ANSWER_TIME;
 use ragwort_policy::ClockTime;
@@ -13,8 +13,8 @@
     START + Duration::from_millis(millis)
 }
 
-/// A leaseholder's VM loses power with statements under way. Their callers hear of it within half a
-/// second, in place of waiting for their deadlines.
+/// A leaseholder's VM loses power with statements under way. Their callers must learn so within
+/// half a second rather than at their deadlines.
 #[test]
 fn silent_link_is_asked_and_given_up() {
     let mut watch = LinkWatch::new(START);
@@ -40,8 +40,8 @@
     assert!(lost < Duration::from_millis(500));
 }
 
-/// A slow statement keeps a link quiet for a second, and the leaseholder answers the question. Were the
-/// link given up, its callers would be in doubt about writes that run well.
+/// A slow statement keeps a link quiet for a second, and the leaseholder answers the probes. If the
+/// link were given up, the outcome of writes that run well would be unknown.
 #[test]
 fn link_that_answers_the_question_stays() {
     let mut watch = LinkWatch::new(START);
@@ -52,7 +52,7 @@
             LinkStep::Ask => questions.push(millis),
             LinkStep::GiveUp => panic!("given up after {millis} ms"),
         }
-        // The answer is there after 3 ms.
+        // The answer arrives after 3 ms.
         if questions.last() == Some(&millis.saturating_sub(3)) {
             watch.hear(after(millis));
         }
@@ -60,8 +60,7 @@
     assert_eq!(questions, [200, 403, 606, 809]);
 }
 
-/// Nothing was asked of the link for an hour. The first statement after that must not find it guilty
-/// of the silence before.
+/// A link was idle for an hour. The silence before its first statement must not count against it.
 #[test]
 fn idle_time_is_no_silence() {
     let mut watch = LinkWatch::new(START);
@@ -72,8 +71,8 @@
     );
 }
 
-/// This process was stopped for some seconds itself. The replies lie in its socket's buffer, so it asks
-/// and reads before it takes anything for lost.
+/// This process itself was stopped for some seconds. The replies are in its socket's buffer, so it
+/// must probe and read before it treats the link as lost.
 #[test]
 fn own_stop_is_no_silence_of_the_other() {
     let mut watch = LinkWatch::new(START);
--- a/crates/policy/tests/model/mod.rs
+++ b/crates/policy/tests/model/mod.rs
@@ -1,4 +1,4 @@
-//! A scheduler beside what must hold of it, over random events.
+//! A scheduler and a model of its state, checked against each other over random events.
 
 use crate::fixture::OTHER_REPLICA;
 use crate::fixture::PRIMARY;
@@ -77,9 +77,9 @@
     }
 }
 
-/// An endpoint as the test remembers it.
+/// The expected state of an endpoint.
 #[derive(Clone, Debug)]
-struct KnownEndpoint {
+struct ExpectedEndpoint {
     role: Option<EndpointRole>,
     leaving: bool,
     position: LogPosition,
@@ -89,16 +89,16 @@
     opening: u32,
 }
 
-/// A scheduler, and what the test knows without asking it.
+/// A scheduler, and its expected state as tracked by the test.
 pub struct GroupModel {
     scheduler: GroupScheduler,
     now: ClockTime,
-    next: u64,
-    /// The most statements that may be sent to one endpoint.
-    most_running: usize,
+    next_ticket: u64,
+    /// The maximum number of statements in flight to one endpoint.
+    max_running: usize,
     waiting: BTreeMap<RequestTicket, RequestProfile>,
     running: Vec<(RequestTicket, RequestProfile, usize)>,
-    endpoints: Vec<KnownEndpoint>,
+    endpoints: Vec<ExpectedEndpoint>,
     pins: BTreeMap<RequestTicket, usize>,
 }
 
@@ -107,7 +107,7 @@
         let endpoints = ROLES[..2]
             .iter()
             .chain(&ROLES[1..2])
-            .map(|role| KnownEndpoint {
+            .map(|role| ExpectedEndpoint {
                 role: Some(*role),
                 leaving: false,
                 position: LogPosition::default(),
@@ -118,12 +118,12 @@
             });
         Self {
             scheduler: create_group(20, home, excess),
-            most_running: match excess {
+            max_running: match excess {
                 ExcessRule::Forbidden => 2,
                 ExcessRule::Waits => 4,
             },
             now: ClockTime(1_000_000),
-            next: 0,
+            next_ticket: 0,
             waiting: BTreeMap::new(),
             running: Vec::new(),
             endpoints: endpoints.collect(),
@@ -183,8 +183,8 @@
     fn arrive_single(&mut self, shape: u8, millis: u16) {
         let time = Duration::from_millis(u64::from(millis % 600));
         let base = match shape & 1 {
-            0 => write(self.next, self.now),
-            _ => read(self.next, self.now, u64::from(shape >> 5)),
+            0 => write(self.next_ticket, self.now),
+            _ => read(self.next_ticket, self.now, u64::from(shape >> 5)),
         };
         let profile = RequestProfile {
             customer: CustomerName::from(["directorate", "clinics"][usize::from(shape >> 1 & 1)]),
@@ -211,12 +211,12 @@
     }
 
     fn arrive_step(&mut self, step: RequestStep) {
-        let base = write(self.next, self.now);
+        let base = write(self.next_ticket, self.now);
         self.arrive(RequestProfile { step, ..base });
     }
 
     fn arrive(&mut self, profile: RequestProfile) {
-        self.next += 1;
+        self.next_ticket += 1;
         let decision = self.scheduler.arrive(self.now, profile.clone());
         if decision == ArrivalDecision::Queued {
             self.waiting.insert(profile.ticket, profile);
@@ -314,7 +314,11 @@
             self.check(decision);
         }
         let again = self.scheduler.poll(self.now);
-        assert_eq!(again, [], "a poll leaves undecided what it could decide");
+        assert_eq!(
+            again,
+            [],
+            "a second poll at the same time returned decisions"
+        );
         self.check_waiting();
     }
 
@@ -344,7 +348,7 @@
         let endpoint = &mut self.endpoints[index];
         endpoint.running.push(profile.ticket);
         let sent = endpoint.running.len();
-        assert!(sent <= self.most_running, "more statements than slots");
+        assert!(sent <= self.max_running, "more statements than slots");
         match profile.step {
             RequestStep::Within(opener) => assert_eq!(self.pins.get(&opener), Some(&index)),
             RequestStep::Opens => {
@@ -374,7 +378,7 @@
         single.count() + pinned.count()
     }
 
-    /// Checks that nothing waits that the scheduler's own estimate gives no chance.
+    /// Checks that no request waits that can't end in time by the scheduler's own estimate.
     fn check_waiting(&self) {
         let snapshot = self.scheduler.snapshot(self.now);
         let waiting = snapshot.waiting_ordinary + snapshot.waiting_urgent + snapshot.waiting_pinned;
@@ -385,28 +389,28 @@
                 .iter()
                 .find(|kind| kind.customer == profile.customer && kind.kind == profile.kind);
             let expected = kind.map_or(0, |kind| kind.expected_micros);
-            let stranded = !self
+            let no_primary = !self
                 .endpoints
                 .iter()
                 .any(|known| known.role == Some(EndpointRole::Primary) && !known.leaving);
             let end = self.now + Duration::from_micros(expected);
             assert!(
-                stranded || end <= profile.deadline,
-                "waits without a chance"
+                no_primary || end <= profile.deadline,
+                "a waiting request can no longer end in time"
             );
         }
     }
 }
 
-fn check_fitness(profile: &RequestProfile, endpoint: &KnownEndpoint, now: ClockTime) {
-    assert!(!endpoint.leaving, "fresh work for an endpoint that leaves");
+fn check_fitness(profile: &RequestProfile, endpoint: &ExpectedEndpoint, now: ClockTime) {
+    assert!(!endpoint.leaving, "new work for a leaving endpoint");
     match endpoint.role {
         Some(EndpointRole::Primary) => {}
         Some(EndpointRole::Replica) => {
             assert!(profile.allows_replica());
             assert!(
                 endpoint.position.covers(profile.min_position),
-                "misses a write"
+                "the replica lacks the session's last write"
             );
             let Some((reported, age)) = endpoint.age else {
                 panic!("a replica of unknown age");
--- a/crates/policy/tests/patterns.rs
+++ b/crates/policy/tests/patterns.rs
@@ -1,4 +1,5 @@
-//! What callers receive under each load pattern, judged against the plain policy in the same run.
+//! Outcomes for callers under each load pattern, compared with the baseline policy on the same
+//! load.
 
 mod support;
 
@@ -14,7 +15,7 @@
 
 const SEED: u64 = 20_261_202;
 
-/// What both policies gave to the callers of one pattern.
+/// The outcomes of both policies for one pattern.
 struct PolicyPair {
     scheduler: LoadOutcome,
     plain: LoadOutcome,
@@ -33,12 +34,12 @@
     outcome.sum(|name: &SourceName| name.kind == kind)
 }
 
-/// Refusals come early: at most one in fifty leaves the caller less than a quarter of its time.
+/// Asserts that at most one refusal in fifty leaves the caller less than a quarter of its time.
 fn assert_refused_early(outcome: &SourceOutcome) {
     assert!(
-        outcome.short_warnings * 50 <= outcome.refused,
+        outcome.late_refusals * 50 <= outcome.refused,
         "{} of {} refusals came late",
-        outcome.short_warnings,
+        outcome.late_refusals,
         outcome.refused,
     );
 }
@@ -64,19 +65,19 @@
 }
 
 load_cases! {
-    /// A customer sends a burst of twice the capacity at a group without open connections. Callers of
-    /// the other customers would wait behind it; they must not notice.
+    /// A customer sends a burst of twice the capacity at a group without open connections. Callers
+    /// of the other customers must not wait behind it.
     burst(PatternName::Burst) |pair: PolicyPair| {
         let others = pair.scheduler.sum(|name| name.customer != "clinics");
         assert!(others.in_time_share() > 0.99);
         assert!(pair.scheduler.all().late_share() < 0.005);
         assert!(pair.plain.all().late_share() > 0.05);
-        assert!(pair.scheduler.most_connections <= 13);
+        assert!(pair.scheduler.max_connections <= 13);
         assert_refused_early(&pair.scheduler.all());
     };
 
-    /// One session sends in a loop as much as the whole group can do. The other callers, those of the
-    /// same customer included, must be served as before.
+    /// One session sends in a loop as much as the whole group can do. The other callers, including
+    /// those of the same customer, must be served as before.
     hot_caller(PatternName::HotCaller) |pair: PolicyPair| {
         let others = |outcome: &LoadOutcome| outcome.sum(|name| name.kind != "loop");
         assert!(others(&pair.scheduler).in_time_share() > 0.99);
@@ -84,8 +85,9 @@
         assert!(kind(&pair.scheduler, "loop").in_time > 0);
     };
 
-    /// Everybody writes to the same record, and each such write waits for the one before it inside
-    /// the endpoint. Writes to other records must not wait for a slot that is held for nothing.
+    /// Many callers write to the same record, and each such write waits for the one before it
+    /// inside the endpoint. Writes to other records must not wait for slots that are held
+    /// meanwhile.
     hot_key(PatternName::HotKey) |pair: PolicyPair| {
         let others = |outcome: &LoadOutcome| outcome.sum(|name| name.kind != "counter");
         assert!(others(&pair.scheduler).in_time_share() > 0.99);
@@ -95,14 +97,14 @@
         assert!(counter.in_time > kind(&pair.plain, "counter").in_time);
     };
 
-    /// A replica becomes ten times slower. Reads that land on it are late; it must lose its work
-    /// within a fraction of a second and get it back once it has recovered.
+    /// A replica becomes ten times slower, and reads that are sent to it are late. It must lose its
+    /// work within a fraction of a second and get it back once it has recovered.
     slow_replica(PatternName::SlowReplica(10)) |pair: PolicyPair| {
         assert!(pair.scheduler.all().late_share() < 0.005);
         assert!(pair.scheduler.dispatched_at_end[2] * 4 > pair.scheduler.dispatched_at_end[1] * 3);
     };
 
-    /// A replica becomes so slow that nothing on it is in time. Only trials may go there.
+    /// A replica becomes so slow that no answer is in time. Only trials may be sent to it.
     stuck_replica(PatternName::SlowReplica(60)) |pair: PolicyPair| {
         assert!(pair.scheduler.all().late_share() < 0.005);
         assert!(pair.scheduler.all().late * 2 < pair.plain.all().late);
@@ -112,15 +114,16 @@
         assert!(pair.scheduler.dispatched_at_end[2] * 4 > pair.scheduler.dispatched_at_end[1] * 3);
     };
 
-    /// The primary becomes ten times slower. Its writes have nowhere else to go and suffer; reads that
-    /// replicas may serve, and urgent writes, must not.
+    /// The primary becomes ten times slower. Its ordinary writes have no other instance and suffer;
+    /// reads that replicas may serve, and urgent writes, must not.
     slow_primary(PatternName::SlowPrimary) |pair: PolicyPair| {
         assert!(kind(&pair.scheduler, "status").in_time_share() > 0.99);
         assert!(kind(&pair.scheduler, "urgent").in_time_share() > 0.9);
         assert!(pair.scheduler.all().late_share() < pair.plain.all().late_share() / 5.0);
     };
 
-    /// All endpoints become five times slower at once. Cutting any of them off would make it worse.
+    /// All endpoints become five times slower at once. None may be cut off, which would make it
+    /// worse.
     all_slow(PatternName::AllSlow) |pair: PolicyPair| {
         assert_eq!(pair.scheduler.trials, 0, "an endpoint was cut off");
         assert!(pair.scheduler.all().in_time_share() > 0.99);
@@ -129,22 +132,22 @@
     /// Reports of half a second arrive among lookups. If they took every slot, all lookups in that
     /// time would be late.
     long_jobs(PatternName::LongJobs) |pair: PolicyPair| {
-        assert_eq!(pair.scheduler.all_long, 0);
+        assert_eq!(pair.scheduler.all_slots_long, 0);
         let short = pair.scheduler.sum(|name| name.kind != "report");
         assert!(short.in_time_share() > 0.995);
         assert!(kind(&pair.scheduler, "report").in_time_share() > 0.95);
         assert!(pair.plain.all().late > 0);
     };
 
-    /// The contract calls the reports short. The running estimate must find out.
+    /// The contract declares the reports as short. The run time estimate must correct that.
     mislabelled(PatternName::Mislabelled) |pair: PolicyPair| {
         let short = pair.scheduler.sum(|name| name.kind != "report");
         assert!(short.in_time_share() > 0.995);
         assert!(kind(&pair.scheduler, "report").in_time_share() > 0.95);
     };
 
-    /// One customer sends twice what the group can do, reads and writes. The others stay within their
-    /// shares and must not notice.
+    /// One customer sends reads and writes of twice the group's capacity. The others stay within
+    /// their shares and must not be affected.
     abuse(PatternName::Abuse) |pair: PolicyPair| {
         let others = |outcome: &LoadOutcome| outcome.sum(|name| name.customer != "abuser");
         assert!(others(&pair.scheduler).in_time_share() > 0.995);
@@ -152,21 +155,21 @@
         assert_refused_early(&pair.scheduler.all());
     };
 
-    /// More urgent writes arrive than the primary can do. Ordinary work there would never be served.
+    /// More urgent writes arrive than the primary can serve. Ordinary work there must not starve.
     urgent_flood(PatternName::UrgentFlood) |pair: PolicyPair| {
         assert!(kind(&pair.scheduler, "balance").in_time_share() > 0.95);
         assert!(kind(&pair.scheduler, "update").in_time_share() > 0.4);
         assert_refused_early(&pair.scheduler.all());
     };
 
-    /// Transactions hold connections between their statements. Everybody must still find one.
+    /// Transactions hold connections between their statements. Other requests must still find one.
     transactions(PatternName::Transactions) |pair: PolicyPair| {
         assert!(pair.scheduler.all().in_time_share() > 0.995);
-        assert!(pair.scheduler.most_connections <= 13);
+        assert!(pair.scheduler.max_connections <= 13);
     };
 
-    /// Twice the capacity, reports, a hot caller and a slow replica at once. What is answered must
-    /// still be answered in time, and urgent work served.
+    /// Twice the capacity, reports, a looping caller and a slow replica at once. Answers must still
+    /// be in time, and urgent requests be served.
     everything(PatternName::Everything) |pair: PolicyPair| {
         assert!(pair.scheduler.all().late_share() < 0.005);
         assert!(kind(&pair.scheduler, "urgent").in_time_share() > 0.98);
@@ -177,8 +180,9 @@
 
 macro_rules! overload_cases {
     ($($name:ident($user:expr);)*) => {$(
-        /// More work arrives than the group can do. If the queue grew, every answer would be late, and
-        /// none would come in time at twice the capacity; what is answered must stay the same.
+        /// More work arrives than the group can serve. If the queue grew, every answer would be
+        /// late, and none would be in time at twice the capacity; the number of answers in time
+        /// must stay the same.
         #[test]
         fn $name() {
             let full = run_both(PatternName::Mix(100), $user).scheduler.all();
@@ -202,7 +206,7 @@
 
 macro_rules! replica_cases {
     ($($name:ident($user:expr);)*) => {$(
-        /// At half of capacity nothing forces a read that a replica may serve onto the primary.
+        /// At half of capacity no read that a replica may serve needs the primary.
         #[test]
         fn $name() {
             let pair = run_both(PatternName::Mix(50), $user);
@@ -220,9 +224,9 @@
 
 macro_rules! target_cases {
     ($($name:ident($user:expr);)*) => {$(
-        /// Replicas fall behind by seconds, and two thirds more reads come to the primary than it can do.
-        /// In the order of their deadlines all would wait until shortly before these: a user waits for
-        /// 0.7 s for each answer, though most could have had it in 0.1 s.
+        /// Replicas fall behind by seconds, and two thirds more reads come to the primary than it
+        /// can serve. In deadline order all would wait until shortly before their deadlines: each
+        /// caller would wait for 0.7 s, though most could have had an answer in 0.1 s.
         #[test]
         fn $name() {
             let pattern = PatternName::ReplicasBehind.create($user);
@@ -252,8 +256,9 @@
 
 macro_rules! ahead_cases {
     ($($name:ident($user:expr, $gain_percent:expr);)*) => {$(
-        /// A slot at an endpoint in another failure domain stands empty from the end of one run until
-        /// the next statement arrives. Where endpoints let statements wait, more is answered in time.
+        /// A slot at an endpoint in another failure domain is empty from the end of one run until
+        /// the next statement arrives. Where endpoints queue statements, more requests must be
+        /// answered in time.
         #[test]
         fn $name() {
             let pattern = PatternName::Mix(200).create($user);
@@ -264,7 +269,7 @@
             assert!(ahead.late_share() < 0.005);
             assert_refused_early(&ahead);
             let reports = PatternName::LongJobs.create($user);
-            assert_eq!(run_pattern(&reports, PolicyChoice::Ahead, SEED).all_long, 0);
+            assert_eq!(run_pattern(&reports, PolicyChoice::Ahead, SEED).all_slots_long, 0);
         }
     )*};
 }
--- a/crates/policy/tests/relayed_announcements.rs
+++ b/crates/policy/tests/relayed_announcements.rs
@@ -1,4 +1,4 @@
-//! How many announcements standbys hear.
+//! Number and timing of endpoint announcements that are relayed to standbys.
 
 use ragwort_policy::ClockTime;
 use ragwort_policy::RelayedAnnouncements;
@@ -9,11 +9,11 @@
 use ragwort_types::LogPosition;
 use std::time::Duration;
 
-/// How long a standby remembers an endpoint.
+/// How long a standby keeps an endpoint that isn't announced.
 const LOST_AFTER: Duration = Duration::from_secs(5);
 
-/// The pause between two announcements of an endpoint, in milliseconds.
-const GAP_MS: u64 = 1_200;
+/// The interval between two announcements of an endpoint, in milliseconds.
+const INTERVAL_MS: u64 = 1_200;
 
 macro_rules! load_cases {
     ($($(#[$doc:meta])* $name:ident => $case:expr;)*) => {$(
@@ -26,14 +26,14 @@
 }
 
 load_cases! {
-    /// Standbys were called for each of a thousand announcements a second that said nothing new.
-    same_announcements_are_passed_on_now_and_then => repeated_case();
-    /// A standby forgot endpoints that live, as it wasn't told of them in time.
-    standby_hears_before_it_forgets => kept_case();
-    /// A standby that took over didn't know that an endpoint leaves, or leads.
-    news_is_passed_on_at_once => news_case();
-    /// A VM that became a standby waited for endpoints that others knew.
-    new_standby_hears_at_once => standby_case();
+    /// Standbys were called for each of a thousand unchanged announcements a second.
+    unchanged_announcements_are_relayed_rarely => repeated_case();
+    /// A standby dropped endpoints that were alive, because announcements were relayed too late.
+    endpoint_is_relayed_before_a_standby_drops_it => interval_case();
+    /// A standby that took over didn't know that an endpoint was leaving, or was the primary.
+    changes_are_relayed_at_once => change_case();
+    /// A VM that became a standby waited for endpoints that the other standbys knew.
+    announcements_reach_a_new_standby_at_once => standby_case();
 }
 
 fn announce(sequence: u64, role: InstanceRole, leaving: bool) -> EndpointAnnouncement {
@@ -56,44 +56,44 @@
     }
 }
 
-/// Announces an endpoint for some time, and returns when standby `vm-2` hears it.
-fn run_quietly(relayed: &mut RelayedAnnouncements, count: u64) -> Vec<u64> {
-    let moments = (1..=count).map(|number| number * GAP_MS);
-    let heard = moments.enumerate().filter(|(index, moment)| {
+/// Announces an endpoint `count` times without a change, and returns when it is relayed to `vm-2`.
+fn repeat_announcement(relayed: &mut RelayedAnnouncements, count: u64) -> Vec<u64> {
+    let moments = (1..=count).map(|number| number * INTERVAL_MS);
+    let relayed_at = moments.enumerate().filter(|(index, moment)| {
         let sequence = u64::try_from(*index).unwrap();
         let announcement = announce(sequence, InstanceRole::Replica, false);
         let now = ClockTime::from_millis(*moment);
         relayed.is_due(now, &"vm-2".into(), &announcement)
     });
-    heard.map(|(_, moment)| moment).collect()
+    relayed_at.map(|(_, moment)| moment).collect()
 }
 
 fn repeated_case() {
     let mut relayed = RelayedAnnouncements::new(LOST_AFTER);
-    let heard = run_quietly(&mut relayed, 300);
-    assert!(heard.len() <= 101, "{}", heard.len());
+    let relayed_at = repeat_announcement(&mut relayed, 300);
+    assert!(relayed_at.len() <= 101, "{}", relayed_at.len());
 }
 
-fn kept_case() {
+fn interval_case() {
     let mut relayed = RelayedAnnouncements::new(LOST_AFTER);
-    let heard = run_quietly(&mut relayed, 300);
+    let relayed_at = repeat_announcement(&mut relayed, 300);
     let lost = u64::try_from(LOST_AFTER.as_millis()).unwrap();
-    let gaps = heard.windows(2).map(|pair| pair[1] - pair[0]);
-    let longest = gaps.max().unwrap();
+    let intervals = relayed_at.windows(2).map(|pair| pair[1] - pair[0]);
+    let longest = intervals.max().unwrap();
     assert!(longest < lost, "{longest}");
 }
 
-fn news_case() {
+fn change_case() {
     let mut relayed = RelayedAnnouncements::new(LOST_AFTER);
     let now = ClockTime::from_millis(1_000);
     let standby = "vm-2".into();
-    let news = [
+    let changes = [
         (InstanceRole::Replica, false),
         (InstanceRole::Primary, false),
         (InstanceRole::Primary, true),
         (InstanceRole::Replica, true),
     ];
-    for (role, leaving) in news {
+    for (role, leaving) in changes {
         let announcement = announce(1, role, leaving);
         assert!(relayed.is_due(now, &standby, &announcement), "{role:?}");
         assert!(!relayed.is_due(now, &standby, &announcement));
--- a/crates/policy/tests/replay.rs
+++ b/crates/policy/tests/replay.rs
@@ -1,4 +1,4 @@
-//! Shared connections: what is replayed before a session's statement, and which connection it gets.
+//! Session state that is replayed on shared connections, and its cost.
 
 use ragwort_policy::ConnectionImage;
 use ragwort_policy::ReplayStep;
@@ -35,7 +35,7 @@
     }
 }
 
-/// Returns a connection on which a session with these values has run.
+/// Returns a connection on which a session with these values and statements has run.
 fn used(pairs: &[(&str, &str)], shapes: &[PreparedShape]) -> ConnectionImage {
     let mut image = ConnectionImage::default();
     for (name, value) in pairs {
@@ -48,15 +48,15 @@
 }
 
 replay_cases! {
-    /// A session without values follows one that has set some. Its statement would run with the
-    /// other's values if the connection weren't cleared.
+    /// A session without values uses a connection after one that has set some. If the connection
+    /// weren't cleared, its statement would run with the other session's values.
     foreign_values_are_cleared {
         let image = used(&[("zone", "a")], &[]);
         let steps = image.plan(&values(&[]), None);
         assert_eq!(steps.as_slice(), [ReplayStep::Reset]);
     }
 
-    /// A session's values differ from those on the connection in one. Only that one is set.
+    /// A session's values differ from the connection's in one value. Only that one is set.
     only_what_differs_is_set {
         let image = used(&[("zone", "a"), ("lang", "en")], &[]);
         let steps = image.plan(&values(&[("zone", "b"), ("lang", "en")]), None);
@@ -64,8 +64,8 @@
         assert_eq!(image.cost(&values(&[("zone", "a"), ("lang", "en")]), None), 0);
     }
 
-    /// Clearing the values drops the prepared statements with them. The one that is about to run has
-    /// to be prepared again, or the endpoint wouldn't know it.
+    /// Clearing the values also drops the prepared statements. The one that is about to run must be
+    /// prepared again, or the endpoint wouldn't know it.
     clearing_drops_prepared_statements {
         let image = used(&[("zone", "a")], &[shape("q1")]);
         let steps = image.plan(&values(&[("lang", "en")]), Some(&shape("q1")));
@@ -73,14 +73,15 @@
         assert_eq!(steps.as_slice(), expected);
     }
 
-    /// Two sessions prepare the same under different names. The second one finds it there.
+    /// Two sessions prepare the same statement under different names. The second one finds it
+    /// prepared.
     prepared_statements_are_shared {
         let image = used(&[], &[shape("q1")]);
         assert_eq!(image.cost(&values(&[]), Some(&shape("q1"))), 0);
         assert_eq!(image.cost(&values(&[]), Some(&shape("q2"))), 1);
     }
 
-    /// A transaction was left open that nobody holds. The next statement would run inside of it.
+    /// A transaction without an owner was left open. The next statement would run inside it.
     leftover_transaction_is_rolled_back_first {
         let mut image = used(&[("zone", "a")], &[]);
         image.set_in_transaction(true);
@@ -88,8 +89,8 @@
         assert_eq!(steps.as_slice(), [ReplayStep::Rollback, ReplayStep::Reset]);
     }
 
-    /// Sessions prepare thousands of statements. A connection keeps a bounded number; the endpoint
-    /// holds them in its memory.
+    /// Sessions prepare thousands of statements. A connection keeps a bounded number of them,
+    /// because the endpoint holds them in its memory.
     prepared_statements_are_bounded {
         let mut image = ConnectionImage::default();
         for number in 0..10_000 {
@@ -104,7 +105,7 @@
         assert!(kept.count() <= 256);
     }
 
-    /// The endpoint says that it doesn't know a statement. It is prepared anew before it runs again.
+    /// The endpoint reports that it doesn't know a statement. It is prepared again before it runs.
     forgotten_statement_is_prepared_again {
         let mut image = used(&[], &[shape("q1")]);
         image.forget_prepared(&shape("q1"));
--- a/crates/policy/tests/scheduler.rs
+++ b/crates/policy/tests/scheduler.rs
@@ -74,8 +74,8 @@
     }
 }
 
-/// A duty officer's request arrives when the queue is full of ordinary ones. If it waited its turn or
-/// were refused, an applicant would face a hearing without counsel.
+/// A duty officer's request arrives when the queue is full of ordinary ones. If it waited its turn
+/// or were refused, an applicant would face a hearing without counsel.
 #[test]
 fn urgent_goes_before_a_full_queue() {
     let mut scheduler = ready_group(30);
@@ -98,7 +98,7 @@
     assert_eq!(dispatches(&scheduler.poll(end)), [(100, PRIMARY)]);
 }
 
-/// Urgent requests never stop coming. Of every four, one ordinary request is served.
+/// Urgent requests never stop arriving. One of every four served requests must be an ordinary one.
 #[test]
 fn urgent_does_not_starve_the_rest() {
     let mut scheduler = ready_group(100);
@@ -113,7 +113,7 @@
         .collect::<Vec<_>>();
     let mut served = running.clone();
     while served.len() < 16 {
-        assert!(!running.is_empty(), "a write waits for nothing");
+        assert!(!running.is_empty(), "no waiting write was dispatched");
         now = now + Duration::from_millis(4);
         scheduler.finished(
             now,
@@ -128,10 +128,10 @@
     assert_eq!(served.iter().filter(|ticket| **ticket >= 100).count(), 4);
 }
 
-/// A write with 5 ms left takes 8 ms. Held back until its time is up, its caller could do nothing
-/// else; it learns so at once.
+/// A write with 5 ms left takes 8 ms. Its caller must learn at once that it is refused: held back
+/// until its time is up, the caller could do nothing else.
 #[test]
-fn hopeless_request_is_refused_at_once() {
+fn request_that_cannot_end_in_time_is_refused_at_once() {
     let mut scheduler = ready_group(30);
     let profile = RequestProfile {
         deadline: START + Duration::from_millis(5),
@@ -145,7 +145,7 @@
     assert!(refused[0].2 > 0);
 }
 
-/// Three hundred callers are refused within a moment. If all came back at the same time, they would
+/// Three hundred callers are refused within a moment. If all retried at the same time, they would
 /// be refused together again.
 #[test]
 fn refused_callers_come_back_spread_out() {
@@ -169,7 +169,8 @@
     }
 }
 
-/// A session has written and reads on a replica that has not caught up. It would miss its own write.
+/// A session has written and reads from a replica that hasn't caught up. It would miss its own
+/// write.
 #[test]
 fn read_waits_for_no_replica_that_lacks_its_write() {
     let mut scheduler = ready_group(30);
@@ -184,7 +185,7 @@
     assert_eq!(dispatches(&decisions), [(1, PRIMARY), (2, REPLICA)]);
 }
 
-/// The replicas' last report is too old to know that their data is recent enough.
+/// The replicas' last report is too old to guarantee that their data is recent enough.
 #[test]
 fn age_grows_between_reports() {
     let mut scheduler = ready_group(30);
@@ -196,9 +197,9 @@
     assert_eq!(dispatches(&scheduler.poll(later)), [(1, PRIMARY)]);
 }
 
-/// An endpoint announces that it leaves. Fresh work there would be cut off.
+/// An endpoint announces that it is leaving. New work there would be cut off.
 #[test]
-fn leaving_endpoint_gets_no_fresh_work() {
+fn leaving_endpoint_gets_no_new_work() {
     let mut scheduler = ready_group(30);
     let leaving = EndpointState {
         leaving: true,
@@ -211,8 +212,8 @@
     assert_eq!(refusals(&decisions)[0].1, RefusalCause::NoPrimary);
 }
 
-/// The primary is gone and a promotion takes a second. A request with half a second left has no
-/// chance; one with three seconds waits for the successor.
+/// The primary is gone and a promotion takes a second. A request with half a second left must be
+/// refused; one with three seconds must wait for the successor.
 #[test]
 fn promotion_is_waited_for_only_with_time_left() {
     let mut scheduler = ready_group(30);
@@ -247,9 +248,9 @@
     }
 }
 
-/// A transaction holds one of few connections while its next statement waits behind fresh work.
+/// A transaction holds one of few connections while its next statement waits behind new requests.
 #[test]
-fn transaction_goes_on_before_fresh_work() {
+fn open_transaction_goes_before_new_work() {
     let mut scheduler = ready_group(30);
     open_transaction(&mut scheduler, 1);
     scheduler.arrive(START, write(2, START));
@@ -261,8 +262,8 @@
     assert_eq!(scheduler.snapshot(START).endpoints[0].pinned, 0);
 }
 
-/// The endpoint is lost in the middle of a transaction. Its next statement on another endpoint would
-/// run outside of the transaction.
+/// The endpoint is lost in the middle of a transaction. On another endpoint the next statement
+/// would run outside of the transaction.
 #[test]
 fn transaction_ends_with_its_endpoint() {
     let mut scheduler = ready_group(30);
@@ -280,7 +281,7 @@
 }
 
 /// A customer opens more transactions than its contract allows. It must not take the connections of
-/// the others.
+/// other customers.
 #[test]
 fn transactions_are_limited_by_contract() {
     let mut scheduler = ready_group(30);
@@ -297,8 +298,9 @@
         if refusal.cause == RefusalCause::Limit));
 }
 
-/// Transactions that stay open take one connection after the other. The last ones are for statements
-/// outside of transactions, and for a successor that takes over while these are still open.
+/// Transactions that stay open take one connection after the other. The last ones must be left for
+/// statements outside of transactions, and for a successor that takes over while these are still
+/// open.
 #[test]
 fn transactions_leave_connections_to_others() {
     let mut scheduler = ready_group(100);
@@ -348,7 +350,7 @@
     while served.len() < count {
         let decisions = scheduler.poll(*now);
         let orders = dispatches(&decisions);
-        assert!(!orders.is_empty(), "a write waits for nothing");
+        assert!(!orders.is_empty(), "no waiting write was dispatched");
         for (ticket, _) in orders {
             served.push(ticket);
             *now = *now + Duration::from_millis(4);
@@ -358,8 +360,8 @@
     served
 }
 
-/// One customer works alone for a while; then another returns with a flood. It gets its share back at
-/// once, but not what it left unused before: the first would be starved for as long.
+/// One customer works alone for a while; then another returns with a flood. It must get its share
+/// at once, but not the share that it left unused before: the first would starve for as long.
 #[test]
 fn unused_share_is_not_saved_up() {
     let mut scheduler = ready_group(100);
@@ -386,7 +388,7 @@
 }
 
 /// Sixty requests find no connection open. One connection for each of them would use up the
-/// endpoints' connections, and leave none for a successor.
+/// endpoint's connections and leave none for a successor.
 #[test]
 fn burst_opens_few_connections() {
     let mut scheduler = create_group(100, "north", ExcessRule::Forbidden);
@@ -426,15 +428,17 @@
     scheduler.snapshot(now).counts.retried
 }
 
-/// Every statement fails without having run. Retried without limit, failures would double the load.
+/// Every statement fails without having run. Retried without limit, the failures would double the
+/// load.
 #[test]
 fn retries_stay_within_a_tenth() {
     let retried = fail_all(RepeatRule::Never, FinishOutcome::NotRun);
     assert!((30..=40).contains(&retried), "{retried} retries");
 }
 
-/// A few reads a second find each of two replicas behind before the primary serves them. Counted as
-/// failures, they would use up the retries of the group, and callers be refused whom it could serve.
+/// A few reads a second find two replicas behind before the primary serves them. Counted as
+/// failures, they would use up the group's retries, and callers would be refused that it could
+/// serve.
 #[test]
 fn replicas_behind_use_up_no_retries() {
     let mut scheduler = ready_group(1_000);
@@ -453,15 +457,16 @@
     }
 }
 
-/// A grant was sent and its connection lost. Sent again, there could be two grants on one case.
+/// A grant was sent and its connection lost. Sent again, it could lead to two grants on one case.
 #[test]
 fn lost_request_that_must_not_repeat_is_settled() {
     assert_eq!(fail_all(RepeatRule::Never, FinishOutcome::Lost), 0);
     assert!(fail_all(RepeatRule::Idempotent, FinishOutcome::Lost) > 0);
 }
 
-/// Something on the path has forgotten every connection. A statement finds one after the other dead
-/// before it is sent. It was never tried, so it must not be refused as if it had failed thrice.
+/// The network path has dropped the state of all connections. A statement finds one connection
+/// after the other dead before it is sent. As it was never tried, it must not be refused as if it
+/// had failed three times.
 #[test]
 fn unsent_statement_is_no_attempt() {
     let mut scheduler = ready_group(30);
@@ -475,7 +480,7 @@
     assert_eq!(scheduler.snapshot(START).counts.retried, 0);
 }
 
-/// A statement fails when its time is nearly up. A second run could not end in time.
+/// A statement fails when its time is nearly up. A second run couldn't end in time.
 #[test]
 fn no_retry_after_the_deadline() {
     let mut scheduler = ready_group(30);
@@ -487,7 +492,7 @@
         if refusal.cause == RefusalCause::EndpointRefused));
 }
 
-/// A caller hangs up. Its waiting request is forgotten; its running one holds the slot until the
+/// A caller disconnects. Its waiting request is dropped; its running one holds the slot until the
 /// endpoint has ended it.
 #[test]
 fn abandoned_request_keeps_its_slot() {
@@ -504,9 +509,9 @@
     assert_eq!(scheduler.abandon(RequestTicket(0)), AbandonEffect::Unknown);
 }
 
-/// Two customers take turns: each has something waiting, then nothing, then something again, some of
-/// it given up meanwhile. Were a customer forgotten when its queue ran empty, its next caller would
-/// wait until its deadline while slots are free.
+/// Two customers alternate: each has a waiting request, then none, then one again, and some
+/// requests are abandoned. If a customer were dropped when its queue ran empty, its next caller
+/// would wait until its deadline while slots are free.
 #[test]
 fn customer_that_returns_is_served() {
     let mut scheduler = ready_group(20);
@@ -528,8 +533,9 @@
     }
 }
 
-/// A primary is dead and its successor is known to need 700 ms more. A write that has half a second is
-/// told so at once, with when to come back; one that has a second waits and is served.
+/// A primary has failed and its successor is known to need 700 ms more. A write with half a second
+/// left must be refused at once and told when to retry; one with a second left must wait and be
+/// served.
 #[test]
 fn writes_wait_for_a_primary_that_comes_in_time() {
     let mut scheduler = ready_group(20);
@@ -552,8 +558,8 @@
     assert_eq!(dispatches(&scheduler.poll(later)), [(1, PRIMARY)]);
 }
 
-/// A promotion was ordered and nobody knows whether it will be carried out. Each write would wait until
-/// its deadline for nothing; the next order's primary can't be there in its time.
+/// A promotion was ordered and it is unknown whether it will be carried out. Each write would wait
+/// until its deadline in vain, because the primary of the next order can't be there in time.
 #[test]
 fn writes_are_refused_while_no_promotion_is_under_way() {
     let mut scheduler = ready_group(20);
--- a/crates/policy/tests/support/draw.rs
+++ b/crates/policy/tests/support/draw.rs
@@ -1,4 +1,4 @@
-//! What a run is made of: the endpoints, the policies, and the requests drawn from the seed.
+//! The endpoints and policies of a run, and the requests drawn from its seed.
 
 use super::patterns::LoadPattern;
 use super::plain::PlainEndpoint;
@@ -23,7 +23,7 @@
 pub const INSTANCES: usize = 3;
 pub const SLOTS: u32 = 2;
 pub const CONNECT_TIME: Duration = Duration::from_millis(12);
-pub const REPORT_GAP: Duration = Duration::from_millis(10);
+pub const REPORT_INTERVAL: Duration = Duration::from_millis(10);
 pub const INSTANCE_NAMES: [&str; INSTANCES] = ["cases-1", "cases-2", "cases-3"];
 pub const DOMAIN_NAMES: [&str; INSTANCES] = ["north", "east", "west"];
 
@@ -51,14 +51,14 @@
     Scheduler(Box<GroupScheduler>),
 }
 
-/// A request as it was drawn from the seed.
+/// A request drawn from the seed.
 pub struct DrawnRequest {
     pub source: usize,
     pub session: u64,
     pub key: Option<u64>,
     pub run: Duration,
     pub at: ClockTime,
-    /// The request that opened the transaction, and what is left of it.
+    /// The request that opened the transaction, and the number of statements that remain in it.
     pub opener: Option<RequestTicket>,
     pub statements: u32,
 }
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A runner of load patterns in virtual time, for the tests and the table of the load page.
+//! Simulator of load patterns in virtual time, for the tests and the `load_table` example.
 
 mod draw;
 mod outcome;
--- a/crates/policy/tests/support/outcome.rs
+++ b/crates/policy/tests/support/outcome.rs
@@ -1,22 +1,22 @@
-//! What callers received in a run.
+//! The outcomes for callers in a run.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What the callers of one source received.
+/// The outcomes for the callers of one source.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SourceOutcome {
     pub offered: u64,
     pub in_time: u64,
     pub late: u64,
     pub refused: u64,
-    /// The sum of the time that refused callers had left.
-    pub warning: Duration,
+    /// The total time that refused callers had left.
+    pub time_left: Duration,
     /// The shortest time that a refused caller had left.
-    pub least_warning: Option<Duration>,
+    pub min_time_left: Option<Duration>,
     /// Refusals that left the caller less than a quarter of its time.
-    pub short_warnings: u64,
-    /// The times to an answer, in time or not.
+    pub late_refusals: u64,
+    /// The times to each answer, in time or not.
     pub waits: Vec<Duration>,
 }
 
@@ -29,7 +29,7 @@
         ratio(self.late, self.offered)
     }
 
-    /// Returns the share of all requests that were answered within a time.
+    /// Returns the fraction of all requests that were answered within `time`.
     pub fn share_within(&self, time: Duration) -> f64 {
         let within = self.waits.iter().filter(|wait| **wait <= time).count();
         ratio(within as u64, self.offered)
@@ -40,9 +40,9 @@
         self.in_time += other.in_time;
         self.late += other.late;
         self.refused += other.refused;
-        self.warning += other.warning;
-        self.short_warnings += other.short_warnings;
-        self.least_warning = match (self.least_warning, other.least_warning) {
+        self.time_left += other.time_left;
+        self.late_refusals += other.late_refusals;
+        self.min_time_left = match (self.min_time_left, other.min_time_left) {
             (Some(mine), Some(theirs)) => Some(mine.min(theirs)),
             (mine, theirs) => mine.or(theirs),
         };
@@ -50,38 +50,39 @@
     }
 }
 
-/// Names a source.
+/// Identifies a source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SourceName {
     pub customer: &'static str,
     pub kind: &'static str,
 }
 
-/// What all callers received in a run.
+/// The outcomes for all callers in a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LoadOutcome {
     pub sources: BTreeMap<SourceName, SourceOutcome>,
-    /// Answered reads of kinds that replicas may serve.
+    /// The number of answered reads of kinds that replicas may serve.
     pub permitted_reads: u64,
-    /// Those that a replica answered.
+    /// The number of those that a replica answered.
     pub replica_reads: u64,
-    /// The most slots and connections that were held at once on one instance.
-    pub most_slots: u32,
-    pub most_connections: u32,
-    /// Requests that were sent to an endpoint to see whether it has recovered.
+    /// The maximum number of slots and connections held at the same time on one instance.
+    pub max_slots: u32,
+    pub max_connections: u32,
+    /// Requests sent to a cut-off endpoint as trials of its recovery.
     pub trials: u64,
     /// Requests sent to each instance in the last second.
     pub dispatched_at_end: [u64; 3],
     /// Late answers that came from a slow instance.
     pub late_from_slow: u64,
-    /// Dispatches to a slow instance, by tenths of a second since the spell began.
+    /// Dispatches to a slow instance, by tenths of a second since it became slow.
     pub slow_dispatches: Vec<u64>,
-    /// Moments at which long jobs held every slot of the group while a short request waited.
-    pub all_long: u64,
+    /// The number of moments at which long jobs held every slot of the group while a short request
+    /// waited.
+    pub all_slots_long: u64,
 }
 
 impl LoadOutcome {
-    /// Sums up the sources that are chosen.
+    /// Sums the outcomes of the sources that `chosen` accepts.
     pub fn sum(&self, chosen: impl Fn(&SourceName) -> bool) -> SourceOutcome {
         let mut sum = SourceOutcome::default();
         for (name, outcome) in &self.sources {
--- a/crates/policy/tests/support/patterns.rs
+++ b/crates/policy/tests/support/patterns.rs
@@ -1,4 +1,4 @@
-//! The load patterns and the sizes of the two users.
+//! The load patterns and the group sizes of the two users.
 
 use ragwort_policy::ClockTime;
 use ragwort_policy::CustomerTerms;
@@ -11,7 +11,7 @@
 /// The length of every run.
 const RUN_LENGTH: Duration = Duration::from_secs(5);
 
-/// The reads of 6 ms that keep the primary's two slots busy, a second.
+/// The rate of reads of 6 ms that keeps the primary's two slots busy, per second.
 const PRIMARY_READS: f64 = 333.0;
 
 /// The sizes of a user's group.
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Returns the requests a second of the plain mix that keep all six slots busy.
+    /// Returns the rate of the plain mix that keeps all six slots busy, in requests per second.
     ///
     /// The mix takes 6.36 ms in a slot; four of the slots are one round trip away.
     pub fn capacity(self) -> f64 {
@@ -63,7 +63,7 @@
     pub length: LengthClass,
     pub max_age: Duration,
     pub deadline: Duration,
-    /// The time in which the answer is worth most.
+    /// The time within which the answer is most useful.
     pub target: Option<Duration>,
     pub shortest: Duration,
     pub longest: Duration,
@@ -71,39 +71,39 @@
     pub statements: u32,
 }
 
-/// A time in which an instance is slower by a factor.
+/// A period in which an instance is slower by a factor.
 #[derive(Clone, Copy, Debug)]
-pub struct SlowSpell {
+pub struct SlowPeriod {
     pub instance: usize,
     pub from: ClockTime,
     pub until: ClockTime,
     pub factor: u32,
 }
 
-/// All that happens in a run.
+/// The load and the disturbances of a run.
 #[derive(Clone, Debug)]
 pub struct LoadPattern {
     pub user: UserSize,
     pub sources: Vec<LoadSource>,
-    pub spells: Vec<SlowSpell>,
+    pub slow_periods: Vec<SlowPeriod>,
     pub terms: Vec<CustomerTerms>,
     pub length: Duration,
     /// Whether connections are open at the start.
     pub warm: bool,
-    /// The time by which replicas are behind.
+    /// The replication lag of the replicas.
     pub lag: Duration,
 }
 
-/// The patterns by name.
+/// The patterns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PatternName {
-    /// The plain mix at a hundredth of capacity times this number.
+    /// The plain mix at this percentage of capacity.
     Mix(u32),
     /// Half of capacity, and twice capacity for half a second, with no connection open.
     Burst,
-    /// One session sends as much as the group can do, besides seven tenths of capacity.
+    /// One session sends as much as the group can serve, besides seven tenths of capacity.
     HotCaller,
-    /// Writes to one record, as many as its endpoint can do one by one, besides half of capacity.
+    /// Writes to one record, as many as its endpoint can run one by one, besides half of capacity.
     HotKey,
     /// One replica slower by this factor for two seconds, at seven tenths of capacity.
     SlowReplica(u32),
@@ -113,16 +113,16 @@
     AllSlow,
     /// Reports of 200 to 500 ms, six a second, besides half of capacity.
     LongJobs,
-    /// Reports that their contract calls short.
+    /// Reports that their contract declares as short.
     Mislabelled,
-    /// One customer sends twice what the group can do; the others stay within their shares.
+    /// One customer sends twice the group's capacity; the others stay within their shares.
     Abuse,
-    /// Urgent requests alone exceed the primary.
+    /// Urgent requests alone exceed the primary's capacity.
     UrgentFlood,
     /// Transactions of four statements besides half of capacity.
     Transactions,
-    /// Replicas too far behind for any read, so that all the reads of a plain mix come to the primary:
-    /// two thirds more than it can do, each worth most within a fifth of a second.
+    /// Replicas too far behind for any read, so that all reads of a plain mix come to the primary:
+    /// two thirds more than it can serve, each with a target of a fifth of a second.
     ReplicasBehind,
     /// Twice capacity, reports, a hot caller and a slow replica at once.
     Everything,
@@ -143,11 +143,11 @@
             Self::Everything => plain_mix(user, 2.0),
             Self::ReplicasBehind => targeted_reads(user),
         };
-        self.add_trouble(&mut pattern);
+        self.add_disturbance(&mut pattern);
         pattern
     }
 
-    fn add_trouble(self, pattern: &mut LoadPattern) {
+    fn add_disturbance(self, pattern: &mut LoadPattern) {
         let capacity = pattern.user.capacity();
         match self {
             Self::Mix(_) | Self::ReplicasBehind => {}
@@ -170,11 +170,11 @@
                 keys: Some(1),
                 ..updates("clinics", 120.0)
             }),
-            Self::SlowReplica(factor) => pattern.spells.push(spell(2, factor)),
-            Self::SlowPrimary => pattern.spells.push(spell(0, 10)),
+            Self::SlowReplica(factor) => pattern.slow_periods.push(slow_period(2, factor)),
+            Self::SlowPrimary => pattern.slow_periods.push(slow_period(0, 10)),
             Self::AllSlow => {
-                let spells = (0..3).map(|instance| spell(instance, 5));
-                pattern.spells.extend(spells);
+                let slow_periods = (0..3).map(|instance| slow_period(instance, 5));
+                pattern.slow_periods.extend(slow_periods);
             }
             Self::LongJobs => pattern.sources.push(reports("directorate", 6.0)),
             Self::Mislabelled => pattern.sources.push(LoadSource {
@@ -202,7 +202,7 @@
                 ..updates("directorate", 15.0)
             }),
             Self::Everything => {
-                pattern.spells.push(spell(2, 10));
+                pattern.slow_periods.push(slow_period(2, 10));
                 pattern.sources.push(reports("directorate", 6.0));
                 pattern.sources.push(LoadSource {
                     kind: "loop",
@@ -227,7 +227,7 @@
             updates("intake", rate * 0.05),
             determinations("directorate", rate * 0.03),
         ],
-        spells: Vec::new(),
+        slow_periods: Vec::new(),
         terms: vec![
             terms("directorate", 3),
             terms("clinics", 1),
@@ -240,7 +240,7 @@
     }
 }
 
-/// Reads with a target of a quarter of their deadline, and urgent writes, that all need the primary.
+/// Reads that need the primary, with a target of a quarter of their deadline, and urgent writes.
 fn targeted_reads(user: UserSize) -> LoadPattern {
     let reads = LoadSource {
         target: Some(Duration::from_millis(200)),
@@ -254,8 +254,8 @@
     }
 }
 
-fn spell(instance: usize, factor: u32) -> SlowSpell {
-    SlowSpell {
+fn slow_period(instance: usize, factor: u32) -> SlowPeriod {
+    SlowPeriod {
         instance,
         from: ClockTime::from_millis(1_000),
         until: ClockTime::from_millis(3_000),
--- a/crates/policy/tests/support/plain.rs
+++ b/crates/policy/tests/support/plain.rs
@@ -1,11 +1,11 @@
-//! The plain policy that each module is compared with: first come first served, to the endpoint
+//! The baseline policy that each module is compared with: first come first served, to the endpoint
 //! with the fewest connections in use, opening a connection for each request that finds none idle.
 
 use ragwort_policy::RequestProfile;
 use ragwort_policy::RequestTicket;
 use std::collections::VecDeque;
 
-/// An instance as the plain policy sees it.
+/// The state of an instance in the baseline policy.
 #[derive(Clone, Debug, Default)]
 pub struct PlainEndpoint {
     pub connections: u32,
@@ -13,7 +13,7 @@
     pub used: u32,
 }
 
-/// Where a request goes, and whether a connection must be opened for it.
+/// The instance that a request is sent to, and whether a connection must be opened for it.
 #[derive(Clone, Copy, Debug)]
 pub struct PlainDispatch {
     pub ticket: RequestTicket,
@@ -21,7 +21,7 @@
     pub connect: bool,
 }
 
-/// The plain policy.
+/// The baseline policy.
 #[derive(Clone, Debug)]
 pub struct PlainScheduler {
     pub endpoints: Vec<PlainEndpoint>,
@@ -44,7 +44,7 @@
         self.endpoints[instance].used -= 1;
     }
 
-    /// Forgets requests whose callers have gone.
+    /// Removes requests whose deadline has passed.
     pub fn drop_expired(&mut self, now: ragwort_policy::ClockTime) -> Vec<RequestTicket> {
         let expired = self
             .waiting
@@ -55,7 +55,8 @@
         tickets
     }
 
-    /// Sends what can be sent; `may_serve` says which instances may serve a request.
+    /// Sends all requests that can be sent; `may_serve` decides which instances may serve a
+    /// request.
     pub fn poll(
         &mut self,
         may_serve: impl Fn(&RequestProfile, usize) -> bool,
--- a/crates/policy/tests/support/runner.rs
+++ b/crates/policy/tests/support/runner.rs
@@ -1,4 +1,4 @@
-//! The event loop in virtual time.
+//! Discrete-event simulation in virtual time.
 //!
 //! Arrivals, run times and positions are drawn from the seed before the policy sees anything, so
 //! that two policies meet the same load.
@@ -9,7 +9,7 @@
 use super::draw::INSTANCE_NAMES;
 use super::draw::INSTANCES;
 use super::draw::PolicyModel;
-use super::draw::REPORT_GAP;
+use super::draw::REPORT_INTERVAL;
 use super::draw::RunnerEvent;
 use super::draw::SLOTS;
 use super::draw::create_plain;
@@ -47,15 +47,15 @@
 /// The policy of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyChoice {
-    /// First come first served, least connections.
+    /// The baseline: first come first served, least connections.
     Plain,
-    /// The crate's scheduler with these modules at work.
+    /// The crate's scheduler with these modules in use.
     Scheduler(ModuleSwitches),
-    /// The crate's scheduler, sending statements ahead to endpoints that let them wait.
+    /// The crate's scheduler, sending statements ahead to endpoints that queue them.
     Ahead,
 }
 
-/// Runs a pattern and returns what the callers received.
+/// Runs a pattern and returns the outcomes for its callers.
 pub fn run_pattern(pattern: &LoadPattern, policy: PolicyChoice, seed: u64) -> LoadOutcome {
     let mut runner = LoadRunner::new(pattern, policy, seed);
     runner.run();
@@ -72,7 +72,7 @@
     events: BinaryHeap<Reverse<(ClockTime, u64, RunnerEvent)>>,
     sequence: u64,
     now: ClockTime,
-    /// When each write was done, in order: the primary's log.
+    /// The completion time of each write, in order: the primary's log.
     log: Vec<ClockTime>,
     sessions: HashMap<(usize, u64), u64>,
     reported: (ClockTime, u64),
@@ -161,7 +161,7 @@
             RunnerEvent::Connected(instance) => {
                 self.endpoints[instance].open += 1;
                 let open = self.endpoints[instance].open;
-                self.outcome.most_connections = self.outcome.most_connections.max(open);
+                self.outcome.max_connections = self.outcome.max_connections.max(open);
                 if let PolicyModel::Scheduler(scheduler) = &mut self.policy {
                     scheduler.connection_opened(&InstanceName::from(INSTANCE_NAMES[instance]));
                 }
@@ -241,7 +241,7 @@
                 for dispatch in dispatches {
                     let open = &mut self.endpoints[dispatch.instance].open;
                     *open += u32::from(dispatch.connect);
-                    self.outcome.most_connections = self.outcome.most_connections.max(*open);
+                    self.outcome.max_connections = self.outcome.max_connections.max(*open);
                     let connect = if dispatch.connect {
                         CONNECT_TIME
                     } else {
@@ -275,7 +275,7 @@
         }
     }
 
-    /// Checks what no policy may do, whatever the load.
+    /// Checks a dispatch against the rules that hold under any load.
     fn check_dispatch(&mut self, ticket: RequestTicket, instance: usize) {
         let Some(profile) = self.profiles.get(&ticket) else {
             panic!("a request that was settled is dispatched");
@@ -288,7 +288,7 @@
         let held = self.log.partition_point(|done| *done <= lagged) as u64;
         assert!(
             held >= profile.min_position.index,
-            "misses its session's write"
+            "the replica lacks the session's last write"
         );
         assert!(
             profile.max_age >= self.pattern.lag,
@@ -322,9 +322,11 @@
         if self.now + Duration::from_secs(1) > ClockTime::default() + self.pattern.length {
             self.outcome.dispatched_at_end[instance] += 1;
         }
-        for spell in &self.pattern.spells {
-            if spell.instance == instance && (spell.from..spell.until).contains(&self.now) {
-                let tenth = self.now.since(spell.from).as_millis() as usize / 100;
+        for slow_period in &self.pattern.slow_periods {
+            if slow_period.instance == instance
+                && (slow_period.from..slow_period.until).contains(&self.now)
+            {
+                let tenth = self.now.since(slow_period.from).as_millis() as usize / 100;
                 let counts = &mut self.outcome.slow_dispatches;
                 counts.resize(counts.len().max(tenth + 1), 0);
                 counts[tenth] += 1;
@@ -333,11 +335,15 @@
     }
 
     fn slow_factor(&self, instance: usize) -> u32 {
-        let spells = self.pattern.spells.iter();
-        let present = spells.filter(|spell| {
-            spell.instance == instance && (spell.from..spell.until).contains(&self.now)
+        let slow_periods = self.pattern.slow_periods.iter();
+        let present = slow_periods.filter(|slow_period| {
+            slow_period.instance == instance
+                && (slow_period.from..slow_period.until).contains(&self.now)
         });
-        present.map(|spell| spell.factor).max().unwrap_or(1)
+        present
+            .map(|slow_period| slow_period.factor)
+            .max()
+            .unwrap_or(1)
     }
 
     fn start_runs(&mut self, instance: usize) {
@@ -356,7 +362,7 @@
                 end = (*free).max(self.now) + drawn.run * factor;
                 *free = end;
             }
-            self.outcome.most_slots = self.outcome.most_slots.max(self.endpoints[instance].held);
+            self.outcome.max_slots = self.outcome.max_slots.max(self.endpoints[instance].held);
             self.schedule(end, RunnerEvent::End(ticket, instance));
         }
         let most_waiting = match self.choice {
@@ -453,14 +459,14 @@
         let Some(profile) = self.profiles.remove(&ticket) else {
             panic!("a request is settled twice");
         };
-        let warning = profile.deadline.since(self.now);
-        let short = warning * 4 < self.source(ticket).deadline;
+        let time_left = profile.deadline.since(self.now);
+        let short = time_left * 4 < self.source(ticket).deadline;
         let outcome = self.outcome_of(ticket);
         outcome.refused += 1;
-        outcome.warning += warning;
-        outcome.short_warnings += u64::from(short);
-        let least = outcome.least_warning.unwrap_or(warning);
-        outcome.least_warning = Some(least.min(warning));
+        outcome.time_left += time_left;
+        outcome.late_refusals += u64::from(short);
+        let least = outcome.min_time_left.unwrap_or(time_left);
+        outcome.min_time_left = Some(least.min(time_left));
         self.end_transaction(ticket);
     }
 
@@ -484,7 +490,7 @@
                 scheduler.report_position(self.now, &instance, position, self.pattern.lag);
             }
         }
-        self.schedule(self.now + REPORT_GAP, RunnerEvent::Report);
+        self.schedule(self.now + REPORT_INTERVAL, RunnerEvent::Report);
     }
 
     fn check_long_jobs(&mut self) {
@@ -495,6 +501,6 @@
             return;
         }
         let waits = self.profiles.keys().any(|ticket| !long(ticket));
-        self.outcome.all_long += u64::from(waits);
+        self.outcome.all_slots_long += u64::from(waits);
     }
 }
