--- a/crates/policy/src/caller_pacing.rs
+++ b/crates/policy/src/caller_pacing.rs
@@ -10,9 +10,9 @@
 //! # Approach
 //!
 //! Each session and each key has a theoretical arrival time, up to which it has used its even part
-//! of the slots. A request is ordered later by as much as that lies ahead of the present, so a session
-//! that sends no more than its part is never delayed, and one that sends ten times as much waits
-//! behind the rest, or is refused when its turn would come too late. Eight requests at once are
+//! of the slots. A request is ordered later by as much as that lies ahead of the present, so a
+//! session that sends no more than its part is never delayed, and one that sends ten times as much
+//! waits behind the rest, or is refused when its turn would come too late. Eight requests at once are
 //! free, so that a page which asks for eight things is no flood. The delay ends at two seconds, so
 //! that a flood that has ended is soon forgotten. Writes with the same key run one at a time:
 //! the endpoint would run them one at a time anyway.
--- a/crates/policy/src/estimate.rs
+++ b/crates/policy/src/estimate.rs
@@ -4,7 +4,7 @@
 //!
 //! Requests of very different length meet in one queue: lookups of milliseconds, reports of half a
 //! second. Every other module needs to know how long a request will hold a slot. With the
-//! contract's declaration alone, a kind that a contract calls short and that runs for half a second would
+//! contract's declaration alone, a kind that is declared as short and runs for half a second would
 //! be let into every slot, and whether a request can meet its deadline would be known only after
 //! the deadline.
 //!
--- a/crates/policy/src/steps.rs
+++ b/crates/policy/src/steps.rs
@@ -38,8 +38,8 @@
 const REVIEW_INTERVAL_PER_REQUEST: Duration = Duration::from_micros(3);
 
 /// The maximum number of consecutive plans in one poll. Each plan that leads to another one
-/// dispatches or refuses at least one request, and a group of three endpoints with two slots each
-/// has few requests to dispatch at once.
+/// dispatches, demotes or refuses at least one request, and a group of three endpoints with two
+/// slots each has few requests to dispatch at once.
 const MAX_PLAN_PASSES: usize = 16;
 
 impl GroupScheduler {
