--- a/crates/control/examples/agreement_slopes.rs
+++ b/crates/control/examples/agreement_slopes.rs
@@ -1,8 +1,9 @@
-//! Prints what the agreed log costs, for the page on capacity.
+//! Measures the CPU time, message bytes, record bytes and memory of the agreed log per entry and
+//! per heartbeat, for the documentation of capacity.
 //!
-//! Three nodes exchange their messages in the envelopes of the daemon's calls, but within one
-//! thread and without a network or a disk. Build it in release mode; the times are of the machine
-//! it runs on, and bytes are without the framing of the transport.
+//! Three nodes exchange messages in the envelopes of the daemon's calls, but within one thread and
+//! without a network or a disk. It should be built in release mode. Times depend on the machine,
+//! and byte counts exclude the framing of the transport.
 
 use ragwort_control::agreement::AgreementMessage;
 use ragwort_control::agreement::AgreementNode;
@@ -20,42 +21,42 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// The nodes that vote.
+/// The number of voters.
 const VOTERS: usize = 3;
-/// The entries of one measurement.
+/// The number of entries in one measurement.
 const ENTRIES: usize = 4_000;
-/// The heartbeats of one measurement.
+/// The number of heartbeats in one measurement.
 const HEARTBEATS: usize = 2_000;
-/// The entries whose memory is measured.
+/// The number of entries in the measurement of memory.
 const HELD_ENTRIES: usize = 200_000;
-/// The size of a page in the kernel's account of a process's memory.
+/// The size of a page in `/proc/self/statm`, in bytes.
 const PAGE_BYTES: usize = 4_096;
-/// The size of the snapshot that is measured.
+/// The size of the measured snapshot, in bytes.
 const SNAPSHOT_BYTES: usize = 8 * 1024 * 1024;
-/// A piece of a command, with as many quotes as JSON of contracts has.
+/// A part of a command, with about as many quotes as the JSON of contracts.
 const COMMAND_PART: &str = "{\"kind\":\"status\",\"max_age_ms\":1500,\"deadline_ms\":800}";
-/// A megabyte, as a unit of the figures.
+/// The bytes of one unit of the `_per_mb` figures: a mebibyte.
 const MEGABYTE: f64 = 1_048_576.0;
 
-/// What one node has cost.
+/// The resources that one node has used.
 #[derive(Clone, Copy, Debug, Default)]
 struct NodeCost {
-    /// Time within the node, its message texts and its records.
+    /// The time spent in the node and in encoding and decoding its messages and records.
     busy: Duration,
-    /// Bytes of the messages that it sent.
+    /// The size of the messages that it sent, in bytes.
     sent_bytes: usize,
-    /// Bytes of the records that it made.
+    /// The size of the records that it wrote, in bytes.
     record_bytes: usize,
 }
 
-/// One node and what it has cost.
+/// One node and the resources that it has used.
 struct MeasuredNode {
     name: VmName,
     node: AgreementNode,
     cost: NodeCost,
 }
 
-/// Nodes that share a log; the first is the leader.
+/// The nodes of one log; the first is the leader.
 struct MeasuredLog {
     nodes: Vec<MeasuredNode>,
 }
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Delivers messages until none is left.
+    /// Delivers messages until no node sends any more.
     fn exchange(&mut self) {
         loop {
             let mut texts = Vec::new();
@@ -108,7 +109,7 @@
         leader.cost.busy += begin.elapsed();
     }
 
-    /// Commits entries in batches and prints their cost.
+    /// Commits entries in batches and prints the cost per entry.
     fn measure_entries(&mut self, size: usize, batch: usize) {
         let data = make_data(size);
         self.clear_costs();
@@ -132,7 +133,7 @@
         );
     }
 
-    /// Lets time pass without entries and prints the cost.
+    /// Runs ticks without entries and prints the cost per heartbeat.
     fn measure_heartbeats(&mut self) {
         self.clear_costs();
         for _ in 0..HEARTBEATS {
@@ -213,14 +214,14 @@
     node
 }
 
-/// Makes text like that of a catalog command, whose quotes cost extra bytes at each encoding.
+/// Returns text like that of a catalog command, whose quotes take extra bytes at each encoding.
 fn make_data(size: usize) -> String {
     let mut data = COMMAND_PART.repeat(size / COMMAND_PART.len() + 1);
     data.truncate(size);
     data
 }
 
-/// Returns the memory that the process holds, in bytes.
+/// Returns the resident set size of the process, in bytes.
 fn read_resident_bytes() -> usize {
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split(' ').nth(1).and_then(|field| field.parse().ok());
@@ -272,7 +273,7 @@
 }
 
 fn main() {
-    // First, while the process holds no freed memory that entries could take up.
+    // Memory is measured first, before the process has freed memory that entries could reuse.
     measure_memory(300);
     let mut log = MeasuredLog::start();
     log.measure_heartbeats();
--- a/crates/control/src/agreement/durable.rs
+++ b/crates/control/src/agreement/durable.rs
@@ -1,4 +1,5 @@
-//! What a node keeps on disk.
+//! The durable state of a node: identity, term, vote, snapshot and log entries, and the writes that
+//! change it.
 
 use super::entry::ElectionTerm;
 use super::entry::LogEntry;
@@ -9,45 +10,46 @@
 use serde::Serialize;
 use std::fmt;
 
-/// A change of a node's durable state, in the order in which the node made it.
+/// One change of a node's durable state. Writes must be replayed in the order in which the node
+/// issued them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DiskWrite {
-    /// The node takes an identity; only ever on an empty disk.
+    /// Sets the node's identity; occurs only while the log is empty.
     Identity(VoterId),
-    /// The node enters a term or votes in it.
+    /// Enters a term or records the vote in it.
     HardState(HardState),
-    /// An entry replaces whatever the log held at its index and after it.
+    /// Appends an entry, which replaces all entries at its index and after it.
     Entry(LogEntry),
-    /// A snapshot replaces all entries that it includes.
+    /// Installs a snapshot, which replaces all entries that it includes.
     Snapshot(Box<SnapshotData>),
 }
 
-/// The term that a node has entered, and its vote in it.
+/// The term that a node has entered and its vote in that term.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// The term.
     pub term: ElectionTerm,
-    /// Whom the node voted for in that term.
+    /// The candidate that the node voted for in that term, if any.
     pub vote: Option<VoterId>,
 }
 
-/// What the disk held at start.
+/// The durable state of a node, as it is read from the disk at start.
 #[derive(Clone, Debug, Default)]
 pub struct DurableState {
     pub(crate) id: Option<VoterId>,
-    pub(crate) hard: HardState,
+    pub(crate) hard_state: HardState,
     pub(crate) log: ReplicaLog,
 }
 
 impl DurableState {
-    /// Returns the identity that the disk belongs to; `None` for an empty disk.
+    /// Returns the identity stored on the disk; `None` for an empty disk.
     pub fn id(&self) -> Option<&VoterId> {
         self.id.as_ref()
     }
 
-    /// Returns the term and the vote in it.
+    /// Returns the current term and the vote in it.
     pub fn hard_state(&self) -> &HardState {
-        &self.hard
+        &self.hard_state
     }
 
     /// Returns the snapshot, if there is one.
@@ -55,7 +57,7 @@
         self.log.snapshot()
     }
 
-    /// Returns the entries after the snapshot.
+    /// Returns all entries after the snapshot.
     pub fn entries(&self) -> &[LogEntry] {
         self.log.entries()
     }
@@ -64,7 +66,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`WriteMismatch`] when the write can't follow on those before it.
+    /// Returns [`WriteMismatch`] when the write doesn't fit the writes before it. The state is then
+    /// unchanged.
     pub fn apply(&mut self, write: DiskWrite) -> Result<(), WriteMismatch> {
         match write {
             DiskWrite::Identity(id) => {
@@ -73,11 +76,11 @@
                 }
                 self.id = Some(id);
             }
-            DiskWrite::HardState(hard) => {
-                if hard.term < self.hard.term {
-                    return Err(WriteMismatch::TermFell);
+            DiskWrite::HardState(hard_state) => {
+                if hard_state.term < self.hard_state.term {
+                    return Err(WriteMismatch::TermDecreased);
                 }
-                self.hard = hard;
+                self.hard_state = hard_state;
             }
             DiskWrite::Entry(entry) => {
                 let index = entry.mark.index;
@@ -88,7 +91,7 @@
             }
             DiskWrite::Snapshot(snapshot) => {
                 if snapshot.mark.index < self.log.base().index {
-                    return Err(WriteMismatch::SnapshotFell);
+                    return Err(WriteMismatch::SnapshotOlder);
                 }
                 self.log.install(*snapshot);
             }
@@ -96,14 +99,14 @@
         Ok(())
     }
 
-    /// Returns the writes that lead from an empty disk to this state.
+    /// Returns the writes that rebuild this state from an empty disk.
     ///
-    /// A new file with these can replace one that has grown long.
+    /// A new file with these writes can replace a longer one that led to the same state.
     pub fn to_writes(&self) -> Vec<DiskWrite> {
         let mut writes = Vec::new();
         writes.extend(self.id.clone().map(DiskWrite::Identity));
-        if self.hard != HardState::default() {
-            writes.push(DiskWrite::HardState(self.hard.clone()));
+        if self.hard_state != HardState::default() {
+            writes.push(DiskWrite::HardState(self.hard_state.clone()));
         }
         let snapshot = self.log.snapshot().cloned();
         writes.extend(snapshot.map(|snapshot| DiskWrite::Snapshot(Box::new(snapshot))));
@@ -112,26 +115,26 @@
     }
 }
 
-/// Why a write can't follow on those before it.
+/// The reason why a write doesn't fit the writes before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteMismatch {
-    /// An identity after entries.
+    /// An identity was written after the first entry or snapshot.
     LateIdentity,
-    /// A term below the one before.
-    TermFell,
-    /// An entry that doesn't follow on the log.
+    /// The term is lower than the previous one.
+    TermDecreased,
+    /// The entry is included in the snapshot, or leaves a gap after the last entry.
     EntryGap,
-    /// A snapshot older than the one before.
-    SnapshotFell,
+    /// The snapshot is older than the previous one.
+    SnapshotOlder,
 }
 
 impl fmt::Display for WriteMismatch {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Self::LateIdentity => "an identity after entries",
-            Self::TermFell => "a term below the one before",
-            Self::EntryGap => "an entry that doesn't follow on the log",
-            Self::SnapshotFell => "a snapshot older than the one before",
+            Self::LateIdentity => "identity written after log entries",
+            Self::TermDecreased => "term lower than the previous one",
+            Self::EntryGap => "log entry out of sequence",
+            Self::SnapshotOlder => "snapshot older than the previous one",
         })
     }
 }
--- a/crates/control/src/agreement/election.rs
+++ b/crates/control/src/agreement/election.rs
@@ -1,4 +1,10 @@
-//! Elections: pre-vote, votes, and the leader's own doubt.
+//! Leader election by Raft: pre-vote, votes, and the leader's quorum check.
+//!
+//! A node whose election timeout passes first collects pre-votes, which change no term, and then
+//! votes in the next term. Each node votes once per term and only for a candidate whose log is at
+//! least as complete as its own, so a term has at most one leader and that leader has every
+//! committed entry. Voters that had recent contact with a leader refuse other candidates, and a
+//! leader that no majority answers steps down.
 
 use super::AgreementNode;
 use super::durable::HardState;
@@ -19,15 +25,17 @@
 use std::mem;
 
 impl AgreementNode {
-    /// Says whether a majority of the voters has answered rounds begun within the last `ticks`.
+    /// Returns whether a majority of the voters has answered heartbeat rounds that began within the
+    /// last `ticks` ticks.
     ///
-    /// It is false on any node but the leader. Time counts from the sending of the round and not
-    /// from its answer, because an answer may have lain about in between.
+    /// The result is `false` on any node but the leader. Time counts from the start of the round
+    /// and not from the arrival of its answer, because the answer may have been delayed.
     ///
-    /// Ticks stand still while the process is frozen, so this says nothing to rely on right after
-    /// a thaw. What must hold needs [`confirm_read`](Self::confirm_read) or a committed entry.
-    pub fn majority_heard_within(&self, ticks: u64) -> bool {
-        let Some(state) = self.view_leader_state() else {
+    /// Ticks stop while the process is frozen, so the result can't be relied on right after the
+    /// process resumes. A guarantee takes [`confirm_read`](Self::confirm_read) or a committed
+    /// entry.
+    pub fn majority_answered_within(&self, ticks: u64) -> bool {
+        let Some(state) = self.leader_state() else {
             return false;
         };
         let Some(configuration) = self.log.configuration() else {
@@ -40,28 +48,29 @@
         })
     }
 
+    /// Performs the leader's work of one tick: quorum check, heartbeat and membership changes.
     pub(super) fn tick_leader(&mut self) {
         let election_ticks = u64::from(self.settings.election_ticks);
-        // A leader on the small side of a cut would go on taking proposals that can't be
+        // A leader on the minority side of a partition would go on taking proposals that can't be
         // committed, and its callers would wait until their deadlines. It steps down instead, so
         // that they are refused at once.
-        let doubtful = !self.majority_heard_within(election_ticks);
-        if doubtful && self.holds(AgreementGuard::QuorumCheck) {
+        let quorum_lost = !self.majority_answered_within(election_ticks);
+        if quorum_lost && self.enforces(AgreementGuard::QuorumCheck) {
             self.become_follower(None);
             return;
         }
         let heartbeat_ticks = u64::from(self.settings.heartbeat_ticks.max(1));
         let tick = self.tick;
         if tick.is_multiple_of(heartbeat_ticks)
-            && let Some(state) = self.leader_state()
+            && let Some(state) = self.leader_state_mut()
         {
             state.begin_round(tick);
         }
-        self.drive_membership();
+        self.advance_repair();
     }
 
-    /// Acts on an election time without a leader.
-    pub(super) fn end_leader_wait(&mut self) {
+    /// Handles an election timeout: a voter starts an election, any other node asks to join.
+    pub(super) fn handle_election_timeout(&mut self) {
         self.reset_election_timer();
         self.leader = None;
         let may_lead = self
@@ -72,27 +81,28 @@
             self.ask_to_join();
         } else if self.outdated_by.is_some() {
             self.become_follower(None);
-        } else if self.holds(AgreementGuard::PreVote) {
-            self.await_next_turn();
+        } else if self.enforces(AgreementGuard::PreVote) {
+            self.schedule_next_pre_vote();
             self.ask_for_pre_votes();
         } else {
             self.ask_for_votes();
         }
     }
 
-    /// Follows a leader, or waits for one.
+    /// Becomes a follower of `leader`, or one that waits for a leader.
     pub(super) fn become_follower(&mut self, leader: Option<VoterId>) {
         self.leader = leader;
         self.replace_role(RoleState::Follower);
         self.reset_election_timer();
     }
 
-    /// Enters a later term, with or without its leader.
+    /// Enters a later term as a follower of `leader`, if that is known.
     pub(super) fn follow_term(&mut self, term: ElectionTerm, leader: Option<VoterId>) {
         self.enter_term(term);
         self.become_follower(leader);
     }
 
+    /// Changes the role. Reads that are pending at a leader that steps down are reported as lost.
     fn replace_role(&mut self, role: RoleState) {
         let former = mem::replace(&mut self.role, role);
         if let RoleState::Leader(state) = former {
@@ -101,27 +111,28 @@
         }
     }
 
-    /// Asks whether an election would succeed, without raising the term.
+    /// Sends pre-vote requests, which ask whether an election would succeed without raising the
+    /// term.
     ///
-    /// A VM that sat behind a cut for an hour would otherwise come back with a term raised by every
-    /// vain election, and its mere answer would unseat a healthy leader: writes to the log would
-    /// stop for an election time at the moment the network heals.
+    /// Without pre-vote, a VM that was partitioned for an hour would return with a term raised by
+    /// every failed election, and its answer alone would depose a healthy leader: writes to the log
+    /// would stop for an election timeout when the network heals.
     fn ask_for_pre_votes(&mut self) {
         self.replace_role(RoleState::PreCandidate(smallvec![self.id.clone()]));
         let question = VoteQuestion {
-            term: self.hard.term.next(),
+            term: self.hard_state.term.next(),
             last: self.log.last(),
         };
         self.send_to_other_voters(&MessageBody::PreVoteRequest(question));
-        self.count_tally();
+        self.check_tally();
     }
 
-    /// Enters the next term as a candidate.
+    /// Starts an election in the next term.
     pub(super) fn ask_for_votes(&mut self) {
-        self.ask_for_votes_in(self.hard.term.next());
+        self.ask_for_votes_in(self.hard_state.term.next());
     }
 
-    /// Enters `term` as a candidate.
+    /// Enters `term` as a candidate, votes for itself and sends vote requests.
     pub(super) fn ask_for_votes_in(&mut self, term: ElectionTerm) {
         self.write_hard_state(HardState {
             term,
@@ -135,7 +146,7 @@
             last: self.log.last(),
         };
         self.send_to_other_voters(&MessageBody::VoteRequest(question));
-        self.count_tally();
+        self.check_tally();
     }
 
     fn send_to_other_voters(&mut self, body: &MessageBody) {
@@ -147,18 +158,19 @@
         }
     }
 
-    pub(super) fn answer_pre_vote(&mut self, from: &VoterId, question: VoteQuestion) {
-        if self.tell_if_outdated(from) {
+    /// Answers a pre-vote request; the answer changes neither the term nor the vote of this node.
+    pub(super) fn handle_pre_vote_request(&mut self, from: &VoterId, question: VoteQuestion) {
+        if self.notify_if_outdated(from) {
             return;
         }
-        if self.is_expected_back(from) {
-            self.take_join(from);
+        if self.is_readmitted(from) {
+            self.handle_join(from);
             return;
         }
         let granted = self.may_vote()
-            && question.term > self.hard.term
+            && question.term > self.hard_state.term
             && question.last >= self.log.last()
-            && !self.trusts_leader_against(from);
+            && !self.has_recent_leader_other_than(from);
         let answer = VoteAnswer {
             term: question.term,
             granted,
@@ -166,24 +178,28 @@
         self.send_to(from, MessageBody::PreVoteReply(answer));
     }
 
-    pub(super) fn answer_vote(&mut self, from: &VoterId, question: VoteQuestion) {
+    /// Answers a vote request and enters its term if that is later, unless this node had recent
+    /// contact with another leader.
+    pub(super) fn handle_vote_request(&mut self, from: &VoterId, question: VoteQuestion) {
         if !self.may_vote() {
             return;
         }
-        if question.term > self.hard.term {
-            // A candidate whose pre-votes were collected just before a cut healed would otherwise
-            // unseat the leader that everyone else has found meanwhile.
-            if self.trusts_leader_against(from) {
+        if question.term > self.hard_state.term {
+            // Otherwise a candidate that collected its pre-votes just before a partition healed
+            // would depose the leader that the other voters have elected meanwhile.
+            if self.has_recent_leader_other_than(from) {
                 return;
             }
             self.follow_term(question.term, None);
         }
-        let free = match &self.hard.vote {
+        let vote_available = match &self.hard_state.vote {
             Some(vote) => vote == from,
             None => true,
         };
-        let granted = question.term == self.hard.term && free && question.last >= self.log.last();
-        if granted && self.hard.vote.is_none() {
+        let granted = question.term == self.hard_state.term
+            && vote_available
+            && question.last >= self.log.last();
+        if granted && self.hard_state.vote.is_none() {
             self.write_hard_state(HardState {
                 term: question.term,
                 vote: Some(from.clone()),
@@ -197,36 +213,46 @@
         self.send_to(from, MessageBody::VoteReply(answer));
     }
 
-    pub(super) fn count_pre_vote(
+    /// Counts a granted pre-vote; otherwise enters the sender's term if that is later.
+    pub(super) fn handle_pre_vote_answer(
         &mut self,
         from: &VoterId,
         term: ElectionTerm,
         answer: VoteAnswer,
     ) {
-        let current = answer.term == self.hard.term.next();
+        let current = answer.term == self.hard_state.term.next();
         match &mut self.role {
             RoleState::PreCandidate(tally) if current && answer.granted => {
                 add_vote(tally, from);
-                self.count_tally();
+                self.check_tally();
+            }
+            RoleState::PreCandidate(_) if term > self.hard_state.term => {
+                self.follow_term(term, None)
             }
-            RoleState::PreCandidate(_) if term > self.hard.term => self.follow_term(term, None),
             _ => {}
         }
     }
 
-    pub(super) fn count_vote(&mut self, from: &VoterId, term: ElectionTerm, answer: VoteAnswer) {
-        let current = answer.term == self.hard.term;
+    /// Counts a granted vote; otherwise enters the sender's term if that is later.
+    pub(super) fn handle_vote_answer(
+        &mut self,
+        from: &VoterId,
+        term: ElectionTerm,
+        answer: VoteAnswer,
+    ) {
+        let current = answer.term == self.hard_state.term;
         match &mut self.role {
             RoleState::Candidate(tally) if current && answer.granted => {
                 add_vote(tally, from);
-                self.count_tally();
+                self.check_tally();
             }
-            RoleState::Candidate(_) if term > self.hard.term => self.follow_term(term, None),
+            RoleState::Candidate(_) if term > self.hard_state.term => self.follow_term(term, None),
             _ => {}
         }
     }
 
-    fn count_tally(&mut self) {
+    /// Moves on to the election, or to leadership, once a majority has granted its votes.
+    fn check_tally(&mut self) {
         let Some(configuration) = self.log.configuration() else {
             return;
         };
@@ -250,65 +276,68 @@
             reads: Vec::new(),
         };
         if let Some(configuration) = self.log.configuration() {
-            state.follow_configuration(&self.id, configuration, next, self.tick);
+            state.update_peers(&self.id, configuration, next, self.tick);
         }
         self.leader = Some(self.id.clone());
         self.replace_role(RoleState::Leader(state));
-        // What earlier leaders appended may be committed without this node's knowing it. Its own
-        // first entry, once committed, settles all of them; reads and changes of voters wait for it.
-        self.append_own(EntryPayload::Empty);
+        // Entries of earlier leaders may be committed beyond this node's commit index. Committing
+        // an empty entry of its own term commits all entries before it; reads and changes of voters
+        // wait for that.
+        self.append_as_leader(EntryPayload::Empty);
     }
 
-    /// Says whether this node may vote at all.
+    /// Returns whether this node may vote at all.
     ///
-    /// A node without a configuration has never held any of the log. Its vote could help to elect a
-    /// leader that lacks committed entries, and an accepted change would be gone.
+    /// A node without a configuration has never stored any part of the log. Its vote could help to
+    /// elect a leader that lacks committed entries, and an accepted change would be lost.
     fn may_vote(&self) -> bool {
-        self.log.configuration().is_some() || !self.holds(AgreementGuard::ConfiguredVote)
+        self.log.configuration().is_some() || !self.enforces(AgreementGuard::ConfiguredVote)
     }
 
-    /// Says whether this node has reason to believe in a leader other than `candidate`.
-    fn trusts_leader_against(&self, candidate: &VoterId) -> bool {
-        if !self.holds(AgreementGuard::VoteStickiness) {
+    /// Returns whether this node leads, or had contact with a leader other than `candidate` within
+    /// the minimum election timeout.
+    fn has_recent_leader_other_than(&self, candidate: &VoterId) -> bool {
+        if !self.enforces(AgreementGuard::VoteStickiness) {
             return false;
         }
         let election_ticks = u64::from(self.settings.election_ticks);
-        let heard = self
-            .leader_heard_at
-            .is_some_and(|heard| heard + election_ticks > self.tick);
+        let recent_contact = self
+            .leader_contact_tick
+            .is_some_and(|contact_tick| contact_tick + election_ticks > self.tick);
         let other = self
             .leader
             .as_ref()
             .is_some_and(|leader| leader != candidate);
-        self.is_leader() || (heard && other)
+        self.is_leader() || (recent_contact && other)
     }
 
-    /// Notes that the leader of the present term was heard.
-    pub(super) fn hear_leader(&mut self, from: &VoterId) {
+    /// Records contact with the leader of the current term, and follows it.
+    pub(super) fn record_leader_contact(&mut self, from: &VoterId) {
         invariant!(
             !self.is_leader(),
             "{from} and {} both lead term {}",
             self.id,
-            self.hard.term
+            self.hard_state.term
         );
         invariant!(
             self.leader.as_ref().is_none_or(|leader| leader == from),
             "{from} and {:?} both lead term {}",
             self.leader,
-            self.hard.term
+            self.hard_state.term
         );
         self.become_follower(Some(from.clone()));
-        self.leader_heard_at = Some(self.tick);
+        self.leader_contact_tick = Some(self.tick);
     }
 
-    /// Keeps the leadership in a term above that of a follower.
+    /// Starts an election in the term after `term`, the higher term of a follower.
     ///
-    /// A follower whose term is higher can't accept entries of this term, and it can't be elected
-    /// either while the others hear their leader: it would hang for good. Stepping down would help
-    /// it at the price of an election. Instead the leader asks for votes in a term above at once;
-    /// its followers give them, because it is the leader they trust.
-    pub(super) fn outbid_term(&mut self, term: ElectionTerm) {
-        if self.is_leader() && term > self.hard.term {
+    /// A follower with a higher term can't accept entries of this leader's term. It can't be
+    /// elected either while the other voters have contact with their leader, so it would stay
+    /// behind for good. Stepping down would resolve this but leave the log without a leader for an
+    /// election timeout. Instead the leader requests votes in a higher term at once, and its
+    /// followers grant them, because it is the leader that they had recent contact with.
+    pub(super) fn campaign_above(&mut self, term: ElectionTerm) {
+        if self.is_leader() && term > self.hard_state.term {
             self.ask_for_votes_in(term.next());
         }
     }
--- a/crates/control/src/agreement/entry.rs
+++ b/crates/control/src/agreement/entry.rs
@@ -1,4 +1,4 @@
-//! Entries of the agreed log, the identities that hold it and the places in it.
+//! Log entries, their terms and indices, the identities of nodes and the voter configuration.
 
 use ragwort_types::VmIncarnation;
 use ragwort_types::VmName;
@@ -32,11 +32,11 @@
 }
 
 log_counter! {
-    /// The index of an entry in the agreed log, counted from 1; zero lies before the first entry.
+    /// The index of an entry in the agreed log, counted from 1; zero means before the first entry.
     LogIndex
 }
 log_counter! {
-    /// The term of a leader of the agreed log: at most one leader in each.
+    /// An election term of the agreed log. A term has at most one leader.
     ElectionTerm
 }
 
@@ -49,9 +49,9 @@
 
 /// Identifies a voter or learner: a VM together with the incarnation of its disk.
 ///
-/// A VM whose disk was empty at start is another identity than before, so that whatever the lost
-/// disk had promised is never taken for a promise of the empty one. The incarnation is any number
-/// above those before, such as the microseconds since the Unix epoch at the first start.
+/// A VM that starts with an empty disk gets a new identity, so that votes and acknowledgements of
+/// the lost disk are never attributed to the empty one. The incarnation must be higher than all
+/// earlier ones of the VM, such as the microseconds since the Unix epoch at the first start.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "(VmName, VmIncarnation)", into = "(VmName, VmIncarnation)")]
 pub struct VoterId {
@@ -86,10 +86,10 @@
     }
 }
 
-/// The place of one entry: the term that wrote it and its index.
+/// The term and index of an entry, which identify it.
 ///
-/// Two entries with the same mark are the same entry. Marks order by term first, which is how
-/// voters tell the more complete of two logs.
+/// Two entries with the same mark are the same entry. Marks are ordered by term first, the order in
+/// which voters compare how complete two logs are.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -126,10 +126,10 @@
     }
 }
 
-/// Identifies the operator's act that formed the log.
+/// Identifies the log that an operator formed: a checksum of its first voters.
 ///
-/// Messages of another formation are dropped: otherwise two sets of VMs that were formed by
-/// mistake would take each other's first entries for their own.
+/// Messages from another formation are dropped. Otherwise two sets of VMs that were formed
+/// separately by mistake would mix their entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct FormationId(pub u32);
@@ -137,21 +137,21 @@
 /// A short list of voters.
 pub type VoterList = SmallVec<[VoterId; 5]>;
 
-/// Who votes on the log and who follows it without a vote.
+/// The voters and the non-voting learners of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterConfiguration {
     /// The formation that the log belongs to.
     pub formation: FormationId,
-    /// Those that count towards a majority.
+    /// The nodes that count towards a majority.
     pub voters: VoterList,
-    /// Those that are being caught up to replace or join the voters.
+    /// The nodes that receive the log without a vote, in order to become voters.
     pub learners: SmallVec<[VoterId; 1]>,
-    /// The voter that the latest change of voters added.
+    /// The voter that was added last; `None` if none was added since the log was formed.
     pub admitted: Option<VoterId>,
 }
 
 impl VoterConfiguration {
-    /// Creates the first configuration of a log.
+    /// Creates the first configuration of a log; duplicates are dropped.
     pub fn form(voters: impl IntoIterator<Item = VoterId>) -> Self {
         let mut voters: VoterList = voters.into_iter().collect();
         voters.sort();
@@ -166,17 +166,17 @@
         }
     }
 
-    /// Says whether `id` counts towards a majority.
+    /// Returns whether `id` is a voter.
     pub fn is_voter(&self, id: &VoterId) -> bool {
         self.voters.contains(id)
     }
 
-    /// Says whether `id` follows the log without a vote.
+    /// Returns whether `id` is a learner.
     pub fn is_learner(&self, id: &VoterId) -> bool {
         self.learners.contains(id)
     }
 
-    /// Lists voters and learners.
+    /// Iterates over voters and learners.
     pub fn members(&self) -> impl Iterator<Item = &VoterId> {
         self.voters.iter().chain(self.learners.iter())
     }
@@ -197,20 +197,20 @@
         self.voters.len() / 2 + 1
     }
 
-    /// Says whether the voters that `holds` accepts are a majority.
-    pub fn has_majority(&self, holds: impl Fn(&VoterId) -> bool) -> bool {
-        let count = self.voters.iter().filter(|voter| holds(voter)).count();
+    /// Returns whether the voters for which `counts` is true are a majority.
+    pub fn has_majority(&self, counts: impl Fn(&VoterId) -> bool) -> bool {
+        let count = self.voters.iter().filter(|voter| counts(voter)).count();
         count >= self.majority()
     }
 }
 
-/// What an entry holds.
+/// The content of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryPayload {
-    /// Nothing: a new leader's first entry.
+    /// No content: the first entry of a new leader.
     #[serde(rename = "e")]
     Empty,
-    /// A command of the state that the log keeps, as text.
+    /// A command for the replicated state machine, as text.
     #[serde(rename = "d")]
     Data(String),
     /// A change of voters and learners.
@@ -221,16 +221,16 @@
 /// One entry of the agreed log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// The entry's place.
+    /// The entry's term and index.
     #[serde(rename = "m")]
     pub mark: EntryMark,
-    /// What it holds.
+    /// The entry's content.
     #[serde(rename = "p")]
     pub payload: EntryPayload,
 }
 
 impl LogEntry {
-    /// Returns the entry's text size in bytes, without marks and punctuation.
+    /// Returns the size of the command text in bytes; zero for an entry without a command.
     pub fn payload_size(&self) -> usize {
         match &self.payload {
             EntryPayload::Data(data) => data.len(),
@@ -239,13 +239,13 @@
     }
 }
 
-/// The state at one place of the log, which replaces all entries up to it.
+/// A snapshot: the state that results from all entries up to `mark`, which it replaces.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotData {
-    /// The last entry that the state includes.
+    /// The last entry that the snapshot includes.
     pub mark: EntryMark,
     /// The configuration as of that entry.
     pub configuration: VoterConfiguration,
-    /// The state, as text.
+    /// The state of the replicated state machine, as text.
     pub data: String,
 }
--- a/crates/control/src/agreement/log.rs
+++ b/crates/control/src/agreement/log.rs
@@ -1,4 +1,5 @@
-//! The log as one node holds it: a snapshot and the entries after it.
+//! One node's copy of the log: a snapshot, the entries after it, and the voter configurations that
+//! these contain.
 
 use super::entry::ElectionTerm;
 use super::entry::EntryMark;
@@ -8,14 +9,14 @@
 use super::entry::SnapshotData;
 use super::entry::VoterConfiguration;
 
-/// A configuration and the entry that brought it.
+/// A configuration and the index of the entry that contains it.
 #[derive(Clone, Debug)]
 struct ConfigurationMark {
     index: LogIndex,
     configuration: VoterConfiguration,
 }
 
-/// A snapshot and the entries after it.
+/// One node's copy of the log.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReplicaLog {
     snapshot: Option<SnapshotData>,
@@ -24,7 +25,7 @@
 }
 
 impl ReplicaLog {
-    /// Returns the place that the entries follow on: the snapshot's, or zero.
+    /// Returns the mark of the last entry before `entries`: the snapshot's, or zero without one.
     pub(crate) fn base(&self) -> EntryMark {
         self.snapshot
             .as_ref()
@@ -32,7 +33,7 @@
             .unwrap_or_default()
     }
 
-    /// Returns the place of the last entry.
+    /// Returns the mark of the last entry, or of the snapshot when no entry follows it.
     pub(crate) fn last(&self) -> EntryMark {
         self.entries
             .last()
@@ -49,12 +50,12 @@
         &self.entries
     }
 
-    /// Says whether the node has never held anything.
+    /// Returns whether the log has neither a snapshot nor an entry.
     pub(crate) fn is_empty(&self) -> bool {
         self.snapshot.is_none() && self.entries.is_empty()
     }
 
-    /// Returns the term of an entry, if the log reaches that far and hasn't been compacted there.
+    /// Returns the term of the entry at `index`; `None` if it was compacted or doesn't exist.
     pub(crate) fn term_at(&self, index: LogIndex) -> Option<ElectionTerm> {
         let base = self.base();
         if index == base.index {
@@ -64,9 +65,7 @@
         self.entries.get(position).map(|entry| entry.mark.term)
     }
 
-    /// Returns the entries from `from` up to and including `to`.
-    ///
-    /// Both are cut to what the log holds.
+    /// Returns the entries from `from` up to and including `to`, as far as the log has them.
     pub(crate) fn range(&self, from: LogIndex, to: LogIndex) -> &[LogEntry] {
         let start = self.position_of(from).unwrap_or(0);
         let end = self
@@ -89,14 +88,14 @@
             .unwrap_or_default()
     }
 
-    /// Returns the configuration that held at an index.
+    /// Returns the configuration that was in force at `index`.
     pub(crate) fn configuration_at(&self, index: LogIndex) -> Option<&VoterConfiguration> {
         let earlier = self.configurations.iter().rev();
         let mut earlier = earlier.skip_while(|mark| mark.index > index);
         earlier.next().map(|mark| &mark.configuration)
     }
 
-    /// Returns the first index whose term is that of `index`, as far as the log reaches back.
+    /// Returns the first uncompacted index with the same term as `index`.
     pub(crate) fn first_of_term(&self, index: LogIndex) -> LogIndex {
         let term = self.term_at(index);
         let mut first = index;
@@ -106,7 +105,7 @@
         first
     }
 
-    /// Appends an entry, dropping the entries at its index and after it.
+    /// Appends an entry and drops earlier ones at its index and after it.
     pub(crate) fn append(&mut self, entry: LogEntry) {
         if entry.mark.index <= self.last().index {
             self.truncate(entry.mark.index);
@@ -122,7 +121,8 @@
 
     /// Replaces the entries that a snapshot includes by that snapshot.
     ///
-    /// Entries after it stay only if they follow on it; otherwise they belong to another history.
+    /// Entries after it are kept only if the log has the snapshot's last entry; otherwise they
+    /// belong to a diverging log and are dropped.
     pub(crate) fn install(&mut self, snapshot: SnapshotData) {
         let mark = snapshot.mark;
         if self.term_at(mark.index) == Some(mark.term) {
@@ -150,6 +150,7 @@
         self.configurations.retain(|mark| mark.index < from);
     }
 
+    /// Returns the position in `entries` that belongs to `index`; `None` if it was compacted.
     fn position_of(&self, index: LogIndex) -> Option<usize> {
         let offset = index.0.checked_sub(self.base().index.0)?.checked_sub(1)?;
         usize::try_from(offset).ok()
--- a/crates/control/src/agreement/membership.rs
+++ b/crates/control/src/agreement/membership.rs
@@ -1,23 +1,27 @@
-//! Lost disks and changes of voters.
+//! Changes of voters, and the replacement of voters whose disk was lost.
 //!
-//! A VM whose disk was lost comes back empty and under a new incarnation. It asks to be taken in;
-//! the leader makes it a learner, catches it up, removes the old incarnation and then makes the
-//! new one a voter. Each step is one entry of the log, and the steps that remain follow from the
-//! latest configuration alone, so that any later leader goes on with them.
+//! Voters change by Raft's single-server changes: one voter at a time, and the next change only
+//! after the previous one is committed.
 //!
-//! *Two steps.* Were the old incarnation replaced by the new one in one entry, a majority of the
-//! voters before and one of those after needn't share a voter. If the old disk turns up again (it
-//! was not mounted at start, say), the two could elect a leader each, and an accepted change would
-//! be lost. A change of one voter at a time leaves no two majorities apart.
+//! A VM whose disk was lost restarts empty, under a new incarnation, and asks to join. The leader
+//! adds it as a learner, sends it the log, removes the old incarnation from the voters and then
+//! makes the new one a voter. Each step is one entry of the log, and the remaining steps follow
+//! from the latest configuration alone, so that any later leader can continue the repair.
 //!
-//! *Removing before adding.* The old incarnation can't vote, so while both are voters a majority
-//! needs more of the living than before: three of three instead of two of two in a log of three.
-//! Removing it first never asks for more votes than the loss itself does.
+//! *Two steps.* If one entry replaced the old incarnation by the new one, a majority of the
+//! previous voters and a majority of the new voters could be disjoint. If the old disk reappears
+//! (for example because it was not mounted at start), each majority could elect a leader, and an
+//! accepted change would be lost. When one voter changes at a time, any two majorities overlap.
 //!
-//! *Not before it has caught up.* A new voter without the log counts towards majorities but can't
-//! help to elect a leader, so a second loss right after the repair would leave a log of three
-//! without a leader, although two voters are up. So the repair is done when the change that adds
-//! the new voter is committed and that voter holds it.
+//! *Removal before addition.* The old incarnation can't vote, so while both incarnations are voters
+//! a majority needs more of the running nodes than before: in a log of three, all three of them
+//! instead of both remaining ones. Removing the old incarnation first never requires more votes
+//! than the loss itself.
+//!
+//! *Catch-up before the vote.* A new voter without the log counts towards majorities but can't help
+//! to elect a leader, so a second loss right after the repair would leave a log of three without a
+//! leader although two voters are running. A repair is therefore complete only when the change that
+//! adds the new voter is committed and that voter has stored it.
 
 use super::AgreementNode;
 use super::durable::DiskWrite;
@@ -36,27 +40,28 @@
 use ragwort_types::VmName;
 use std::fmt;
 
-/// The incarnation of a VM that was admitted but hasn't asked to join yet.
-const EXPECTED_INCARNATION: VmIncarnation = VmIncarnation(0);
+/// The placeholder incarnation of a VM that was admitted but hasn't asked to join yet.
+const PLACEHOLDER_INCARNATION: VmIncarnation = VmIncarnation(0);
 
-/// The election times after which a silent learner is dropped, if its VM still has a voter.
+/// The number of election timeouts after which a learner that doesn't answer is dropped, if another
+/// incarnation of its VM is still a voter.
 ///
-/// Long enough for a restart, short enough that a VM whose old disk came back isn't shown as under
-/// repair for good.
-const LEARNER_PATIENCE: u64 = 10;
+/// That is long enough for a restart, and short enough that a VM whose old disk reappeared doesn't
+/// stay reported as under repair.
+const LEARNER_TIMEOUT_FACTOR: u64 = 10;
 
-/// Why a change of members is refused.
+/// The reason why a change of members is refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipError {
-    /// Only the leader changes members.
+    /// This node isn't the leader, and only the leader changes members.
     NotLeader(NotLeader),
-    /// An earlier change isn't committed yet.
+    /// An earlier change isn't committed yet, or the leader hasn't committed an entry of its term.
     ChangePending,
-    /// The VM is a member already.
+    /// The VM is already a member.
     AlreadyMember,
     /// The VM isn't a member.
     NotMember,
-    /// The leader doesn't remove itself; another must lead first.
+    /// The VM is the leader's own; another VM must become leader before this one can be removed.
     LeaderItself,
 }
 
@@ -74,42 +79,44 @@
 
 impl std::error::Error for MembershipError {}
 
-/// A VM that is on its way to become a voter.
+/// A VM that is to become a voter, or whose addition isn't complete yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingRepair {
-    /// The incarnation that is to be a voter; incarnation 0 of a VM that hasn't asked to join yet.
+    /// The incarnation that is to be a voter; incarnation 0 for a VM that hasn't asked to join yet.
     pub joining: VoterId,
     /// The incarnation that it replaces, while that is still a voter.
     pub replaces: Option<VoterId>,
-    /// How far the repair has come.
+    /// The stage of the repair.
     pub stage: RepairStage,
 }
 
-/// How far a repair has come.
+/// The stage of a repair.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RepairStage {
-    /// The VM is expected to ask to join.
+    /// The VM was admitted and hasn't asked to join yet.
     Expected,
-    /// The learner is being caught up, or waits for its turn.
+    /// The learner receives the log, or waits for its next step; the old incarnation is a voter.
     CatchingUp,
     /// The old incarnation has been removed, and the learner isn't a voter yet.
     OldRemoved,
-    /// The new voter isn't known to hold the change that made it one, or that isn't committed.
+    /// The change that added the new voter isn't committed yet, or the leader doesn't know yet that
+    /// the voter has stored it.
     Settling,
 }
 
 impl VoterId {
-    /// Says whether this stands for a VM that was admitted but hasn't asked to join yet.
-    pub(super) fn is_expected(&self) -> bool {
-        self.incarnation == EXPECTED_INCARNATION
+    /// Returns whether this is the placeholder of a VM that was admitted but hasn't asked to join
+    /// yet.
+    pub(super) fn is_placeholder(&self) -> bool {
+        self.incarnation == PLACEHOLDER_INCARNATION
     }
 }
 
 impl AgreementNode {
-    /// Lists the VMs that are on their way to become voters.
+    /// Returns the repairs and additions of voters that aren't complete.
     ///
-    /// While the list isn't empty, the log may not survive the loss of another VM. The leader's
-    /// answer is the one to go by: followers don't know who holds what.
+    /// While the list isn't empty, the log may not survive the loss of another VM. Only the
+    /// leader's answer is reliable: followers don't know which entries the other nodes have stored.
     pub fn repairs_pending(&self) -> Vec<PendingRepair> {
         let Some(configuration) = self.log.configuration() else {
             return Vec::new();
@@ -117,7 +124,7 @@
         let learners = configuration.learners.iter().map(|learner| PendingRepair {
             joining: learner.clone(),
             replaces: configuration.find_voter(&learner.vm).cloned(),
-            stage: judge_learner(configuration, learner),
+            stage: learner_stage(configuration, learner),
         });
         let admitted = configuration.admitted.iter();
         let settling = admitted
@@ -130,15 +137,16 @@
         learners.chain(settling).collect()
     }
 
-    /// Returns the incarnation by which this node was replaced, if it was told so.
+    /// Returns the later incarnation that replaced this node, if another node has reported one.
     ///
-    /// Such a node can't take part any more. Its disk has to be emptied, after which it comes back
-    /// as a new incarnation.
+    /// Such a node can no longer participate. An operator has to empty its disk, after which it
+    /// restarts as a new incarnation.
     pub fn outdated_by(&self) -> Option<VmIncarnation> {
         self.outdated_by
     }
 
-    /// Lets a VM that isn't a member join; it becomes a voter once it has asked and caught up.
+    /// Admits a VM that isn't a member; it becomes a voter once it has asked to join and has caught
+    /// up with the log.
     ///
     /// # Errors
     ///
@@ -148,7 +156,7 @@
         if configuration.members().any(|member| member.vm == vm) {
             return Err(MembershipError::AlreadyMember);
         }
-        let learner = VoterId::new(vm, EXPECTED_INCARNATION);
+        let learner = VoterId::new(vm, PLACEHOLDER_INCARNATION);
         configuration.learners.push(learner);
         Ok(self.append_configuration(configuration))
     }
@@ -171,7 +179,7 @@
         Ok(self.append_configuration(configuration))
     }
 
-    /// Asks the control VMs to take this node in.
+    /// Sends a join request to all peers.
     pub(super) fn ask_to_join(&mut self) {
         self.become_follower(None);
         for peer in self.settings.peers.clone() {
@@ -181,30 +189,32 @@
         }
     }
 
-    /// Says whether a node that asks for votes is one that was removed and is to join again.
+    /// Returns whether a node that requests pre-votes was removed and has been admitted again.
     ///
-    /// It still holds the configuration in which it was a voter, so it doesn't ask to join: it would
-    /// ask for votes for good, and nobody would answer.
-    pub(super) fn is_expected_back(&self, from: &VoterId) -> bool {
+    /// Such a node still has the configuration in which it was a voter, so it never asks to join.
+    /// If the leader didn't treat the pre-vote request as a join request, the node would go on
+    /// requesting votes without an answer.
+    pub(super) fn is_readmitted(&self, from: &VoterId) -> bool {
         let learners = self.learners();
-        let expected = |learner: &VoterId| learner.vm == from.vm && learner.is_expected();
-        self.is_leader() && learners.iter().any(expected)
+        let placeholder = |learner: &VoterId| learner.vm == from.vm && learner.is_placeholder();
+        self.is_leader() && learners.iter().any(placeholder)
     }
 
-    /// Sets which control VMs an empty node asks to be taken in.
+    /// Sets the control VMs to which an empty node sends join requests.
     pub fn set_peers(&mut self, peers: Vec<VmName>) {
         self.settings.peers = peers;
     }
 
-    /// Says whether a VM is among the voters or learners, whatever its incarnation.
+    /// Returns whether any incarnation of a VM is a voter or learner.
     pub fn is_member(&self, vm: &VmName) -> bool {
         let mut members = self.voters().iter().chain(self.learners());
         members.any(|member| member.vm == *vm)
     }
 
-    /// Takes an empty node's request to join.
-    pub(super) fn take_join(&mut self, from: &VoterId) {
-        if self.tell_if_outdated(from) {
+    /// Handles a join request: makes the sender a learner if its VM is a member under an earlier
+    /// incarnation, unless that incarnation is a voter and still answers.
+    pub(super) fn handle_join(&mut self, from: &VoterId) {
+        if self.notify_if_outdated(from) {
             return;
         }
         let Ok(mut configuration) = self.changeable_configuration() else {
@@ -215,27 +225,28 @@
         if !newer || from.vm == self.id.vm {
             return;
         }
-        // While the old incarnation still answers, the VM can't have lost its disk: two VMs share
-        // a name by mistake, and replacing one by the other would go on for ever.
+        // While the old incarnation still answers, the VM can't have lost its disk: two VMs have
+        // the same name by mistake and would replace each other endlessly.
         let old = configuration.find_voter(&from.vm);
-        if old.is_some_and(|old| self.heard_within(old, self.election_time())) {
+        if old.is_some_and(|old| self.answered_within(old, self.election_timeout_ticks())) {
             return;
         }
         configuration
             .learners
             .retain(|learner| learner.vm != from.vm);
         configuration.learners.push(from.clone());
-        if !self.holds(AgreementGuard::CatchUpFirst) {
+        if !self.enforces(AgreementGuard::CatchUpFirst) {
             replace_voter(&mut configuration, from);
         }
         self.append_configuration(configuration);
     }
 
-    /// Tells a node that the committed log knows a later incarnation of its VM.
+    /// Notifies a node whose VM has a later incarnation in the committed configuration; returns
+    /// whether it did.
     ///
-    /// An old disk that turns up again would otherwise ask for votes for ever, and its operator
-    /// would not learn why the VM never takes part.
-    pub(super) fn tell_if_outdated(&mut self, from: &VoterId) -> bool {
+    /// Otherwise a node with an old disk that reappeared would request votes forever, and its
+    /// operator would not learn why the VM never participates.
+    pub(super) fn notify_if_outdated(&mut self, from: &VoterId) -> bool {
         let configuration = self.log.configuration_at(self.commit);
         let Some(configuration) = configuration else {
             return false;
@@ -252,8 +263,8 @@
         }
     }
 
-    /// Learns that the log knows a later incarnation of this VM.
-    pub(super) fn take_outdated_notice(&mut self, notice: OutdatedNotice) {
+    /// Handles the notice that the log has a later incarnation of this VM.
+    pub(super) fn handle_outdated_notice(&mut self, notice: OutdatedNotice) {
         if notice.latest < self.id.incarnation {
             return;
         }
@@ -261,15 +272,15 @@
             self.outdated_by = Some(notice.latest);
             return;
         }
-        // The clock from which the incarnation was taken went back. This node holds nothing and
-        // has promised nothing, so it may take a later one.
+        // The clock from which the incarnation was taken went back. This node has stored no entries
+        // and cast no votes, so it may change to a later incarnation.
         self.id.incarnation = notice.latest.next();
         let write = DiskWrite::Identity(self.id.clone());
         self.output.writes.push(write);
     }
 
-    /// Makes the next step of a repair, if one is due.
-    pub(super) fn drive_membership(&mut self) {
+    /// Appends the next configuration change of a repair, if one is due.
+    pub(super) fn advance_repair(&mut self) {
         if self.learners().is_empty() {
             return;
         }
@@ -277,26 +288,27 @@
             return;
         };
         let mut learners = configuration.learners.iter();
-        let next = learners.find_map(|learner| self.plan_step(&configuration, learner));
+        let next = learners.find_map(|learner| self.plan_repair_step(&configuration, learner));
         if let Some(next) = next {
             self.append_configuration(next);
         }
     }
 
-    /// Returns the configuration that brings a learner one step further, if it is due.
-    fn plan_step(
+    /// Returns the next configuration of a learner's repair, if the step is due: the learner
+    /// dropped, the old incarnation removed, or the learner made a voter.
+    fn plan_repair_step(
         &self,
         configuration: &VoterConfiguration,
         learner: &VoterId,
     ) -> Option<VoterConfiguration> {
-        if learner.is_expected() {
+        if learner.is_placeholder() {
             return None;
         }
         let old = configuration.find_voter(&learner.vm);
         let mut next = configuration.clone();
-        if !self.heard_within(learner, self.election_time()) {
-            let patience = LEARNER_PATIENCE * self.election_time();
-            let dropped = old.is_some() && !self.heard_within(learner, patience);
+        if !self.answered_within(learner, self.election_timeout_ticks()) {
+            let learner_timeout = LEARNER_TIMEOUT_FACTOR * self.election_timeout_ticks();
+            let dropped = old.is_some() && !self.answered_within(learner, learner_timeout);
             next.learners.retain(|other| other != learner);
             return dropped.then_some(next);
         }
@@ -304,8 +316,8 @@
             return None;
         }
         match old {
-            Some(old) if self.heard_within(old, self.election_time()) => return None,
-            Some(_) if !self.holds(AgreementGuard::SingleVoterChange) => {
+            Some(old) if self.answered_within(old, self.election_timeout_ticks()) => return None,
+            Some(_) if !self.enforces(AgreementGuard::SingleVoterChange) => {
                 replace_voter(&mut next, learner);
             }
             Some(old) => next.voters.retain(|voter| voter != old),
@@ -316,15 +328,15 @@
 
     /// Returns the latest configuration, if this node may change it now.
     ///
-    /// A change before the former is committed could leave two majorities apart. The same holds
-    /// for a new leader's change before it has committed an entry of its term: an earlier leader's
-    /// change that it doesn't know of may be committed meanwhile.
+    /// A change before the previous one is committed could lead to disjoint majorities. So could a
+    /// new leader's change before it has committed an entry of its term: an earlier leader's change
+    /// that it doesn't know of may be committed meanwhile.
     fn changeable_configuration(&self) -> Result<VoterConfiguration, MembershipError> {
         if !self.is_leader() {
-            return Err(MembershipError::NotLeader(self.not_leader()));
+            return Err(MembershipError::NotLeader(self.not_leader_error()));
         }
-        let settled = self.log.configuration_index() <= self.commit && self.has_own_commit();
-        if !settled && self.holds(AgreementGuard::OneChangeAtATime) {
+        let settled = self.log.configuration_index() <= self.commit && self.has_committed_in_term();
+        if !settled && self.enforces(AgreementGuard::OneChangeAtATime) {
             return Err(MembershipError::ChangePending);
         }
         let configuration = self.log.configuration().cloned();
@@ -333,32 +345,38 @@
 
     fn append_configuration(&mut self, configuration: VoterConfiguration) -> EntryMark {
         let payload = EntryPayload::Configuration(Box::new(configuration.clone()));
-        let mark = self.append_own(payload);
+        let mark = self.append_as_leader(payload);
         if let RoleState::Leader(state) = &mut self.role {
-            state.follow_configuration(&self.id, &configuration, mark.index, self.tick);
+            state.update_peers(&self.id, &configuration, mark.index, self.tick);
         }
         mark
     }
 
+    /// Returns whether the latest configuration is committed and, on the leader, whether `voter` is
+    /// known to have stored it.
     fn is_settled(&self, voter: &VoterId) -> bool {
         let change = self.log.configuration_index();
-        let held = *voter == self.id || self.matched_by(voter) >= change;
-        self.commit >= change && (held || !self.is_leader())
+        let stored = *voter == self.id || self.matched_by(voter) >= change;
+        self.commit >= change && (stored || !self.is_leader())
     }
 
+    /// Returns the last index that a member is known to have stored; zero if unknown.
     fn matched_by(&self, id: &VoterId) -> LogIndex {
-        let state = self.view_leader_state();
+        let state = self.leader_state();
         let progress = state.and_then(|state| state.peers.get(id));
         progress.map(|peer| peer.matched).unwrap_or_default()
     }
 
-    fn heard_within(&self, id: &VoterId, ticks: u64) -> bool {
-        let state = self.view_leader_state();
+    /// Returns whether a member has answered a heartbeat round that began within the last `ticks`
+    /// ticks.
+    fn answered_within(&self, id: &VoterId, ticks: u64) -> bool {
+        let state = self.leader_state();
         let progress = state.and_then(|state| state.peers.get(id));
         progress.is_some_and(|peer| peer.round.tick + ticks >= self.tick)
     }
 
-    fn election_time(&self) -> u64 {
+    /// Returns the minimum election timeout, in ticks.
+    fn election_timeout_ticks(&self) -> u64 {
         u64::from(self.settings.election_ticks)
     }
 }
@@ -375,8 +393,8 @@
     add_voter(configuration, learner);
 }
 
-fn judge_learner(configuration: &VoterConfiguration, learner: &VoterId) -> RepairStage {
-    if learner.is_expected() {
+fn learner_stage(configuration: &VoterConfiguration, learner: &VoterId) -> RepairStage {
+    if learner.is_placeholder() {
         RepairStage::Expected
     } else if configuration.find_voter(&learner.vm).is_some() {
         RepairStage::CatchingUp
--- a/crates/control/src/agreement/message.rs
+++ b/crates/control/src/agreement/message.rs
@@ -1,7 +1,7 @@
 //! Messages between the nodes of the agreed log.
 //!
-//! Their texts travel within JSON strings, where each quote costs two bytes; so fields that are in
-//! every message have short names or none.
+//! A message is encoded as JSON and sent within a JSON string, where each quote takes two bytes.
+//! Therefore the fields of frequent messages are encoded with one-letter names, or as arrays.
 
 use super::entry::ElectionTerm;
 use super::entry::EntryMark;
@@ -16,7 +16,7 @@
 use serde::Serialize;
 use std::fmt;
 
-/// A message between two nodes. Messages may be lost, repeated, delayed and reordered.
+/// A message between two nodes. Messages may be lost, duplicated, delayed and reordered.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgreementMessage {
     /// The sender.
@@ -25,13 +25,13 @@
     /// The receiver; a message to another incarnation of the VM is dropped.
     #[serde(rename = "o")]
     pub to: MessageRecipient,
-    /// The formation that the sender belongs to; `None` for one that knows no configuration.
+    /// The sender's formation; `None` if it has no configuration.
     #[serde(rename = "g")]
     pub formation: Option<FormationId>,
     /// The sender's term.
     #[serde(rename = "t")]
     pub term: ElectionTerm,
-    /// What the sender says.
+    /// The content.
     #[serde(rename = "b")]
     pub body: MessageBody,
 }
@@ -46,7 +46,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`MessageError`] when the text isn't a message of this version.
+    /// Returns [`MessageError`] when the text isn't an agreement message of this version.
     pub fn from_text(text: &str) -> Result<Self, MessageError> {
         serde_json::from_str(text).map_err(|error| MessageError {
             reason: error.to_string(),
@@ -54,10 +54,10 @@
     }
 }
 
-/// A text that isn't an agreement message.
+/// The error of a text that can't be decoded as an agreement message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MessageError {
-    /// What is wrong with it.
+    /// The decoder's message.
     pub reason: String,
 }
 
@@ -69,13 +69,13 @@
 
 impl std::error::Error for MessageError {}
 
-/// Whom a message is for.
+/// The addressee of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageRecipient {
     /// One incarnation of a VM.
     #[serde(rename = "i")]
     Voter(VoterId),
-    /// A VM, whatever its incarnation: the sender doesn't know it.
+    /// A VM whose incarnation the sender doesn't know.
     #[serde(rename = "v")]
     Vm(VmName),
 }
@@ -90,37 +90,37 @@
     }
 }
 
-/// What a message says.
+/// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// Would the receiver vote for the sender?
+    /// Asks whether the receiver would vote for the sender in the given term.
     PreVoteRequest(VoteQuestion),
-    /// The answer to a pre-vote request.
+    /// Answers a pre-vote request.
     PreVoteReply(VoteAnswer),
-    /// Does the receiver vote for the sender?
+    /// Requests the receiver's vote in the given term.
     VoteRequest(VoteQuestion),
-    /// The answer to a vote request.
+    /// Answers a vote request.
     VoteReply(VoteAnswer),
-    /// The leader's entries, or its heartbeat when there are none.
+    /// Carries entries of the leader; a heartbeat when there are none.
     #[serde(rename = "a")]
     Append(EntryBatch),
-    /// The answer to an append.
+    /// Answers an append.
     #[serde(rename = "r")]
     AppendReply(AppendAnswer),
-    /// A part of the leader's snapshot.
+    /// Carries a part of the leader's snapshot.
     Snapshot(Box<SnapshotChunk>),
-    /// How much of a snapshot has arrived.
+    /// Acknowledges the received part of a snapshot.
     SnapshotReply(SnapshotAnswer),
-    /// An empty node asks to be taken in.
+    /// Requests to join the log; sent by a node that isn't a voter in its own configuration.
     Join,
-    /// The receiver's incarnation is older than one that the log knows of its VM.
+    /// Notifies the receiver that the log has a later incarnation of its VM.
     Outdated(OutdatedNotice),
 }
 
-/// Asks for a vote, or for a pre-vote.
+/// The content of a vote or pre-vote request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoteQuestion {
-    /// The term that the candidate would lead.
+    /// The term in which the candidate would lead.
     pub term: ElectionTerm,
     /// The candidate's last entry.
     pub last: EntryMark,
@@ -129,19 +129,20 @@
 /// Answers a [`VoteQuestion`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoteAnswer {
-    /// The term that was asked about.
+    /// The term of the request.
     pub term: ElectionTerm,
-    /// Whether the vote is given.
+    /// Whether the vote or pre-vote is granted.
     pub granted: bool,
 }
 
-/// A leader's heartbeat round, by which it learns that a majority still follows it.
+/// Identifies a leader's heartbeat round. Answers to it show that a majority still follows the
+/// leader.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct HeartbeatRound {
-    /// Raised by each round.
+    /// The round's number, which increases by one with each round of a term.
     pub number: u64,
     /// The leader's tick when the round began.
     pub tick: u64,
@@ -159,7 +160,7 @@
     }
 }
 
-/// Entries that follow on one that the receiver should hold.
+/// Consecutive entries, and the entry before them that the receiver must already have.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryBatch {
     /// The entry before the first of the batch.
@@ -171,7 +172,7 @@
     /// The leader's commit index.
     #[serde(rename = "c")]
     pub commit: LogIndex,
-    /// The leader's round.
+    /// The leader's current round.
     #[serde(rename = "r")]
     pub round: HeartbeatRound,
 }
@@ -179,29 +180,29 @@
 /// Answers an [`EntryBatch`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendAnswer {
-    /// The round that is answered.
+    /// The round of the batch.
     #[serde(rename = "r")]
     pub round: HeartbeatRound,
-    /// What became of the batch.
+    /// Whether the batch was accepted.
     #[serde(rename = "o")]
     pub outcome: AppendOutcome,
 }
 
-/// What became of an [`EntryBatch`].
+/// The result of an [`EntryBatch`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AppendOutcome {
-    /// The sender holds the leader's log up to this index, synced.
+    /// The follower has synced the leader's log up to this index to its disk.
     #[serde(rename = "a")]
     Accepted(LogIndex),
-    /// The sender lacks the entry before the batch.
+    /// The follower doesn't have the entry before the batch, or is in a later term.
     #[serde(rename = "r")]
     Rejected(AppendRejection),
 }
 
-/// Says from where a follower's log has to be sent.
+/// Tells the leader where a follower's log may diverge from its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendRejection {
-    /// The index before the rejected batch.
+    /// The index of the entry before the rejected batch.
     #[serde(rename = "p")]
     pub previous: LogIndex,
     /// The last index that may match the leader's log.
@@ -216,30 +217,30 @@
     pub mark: EntryMark,
     /// The configuration as of that entry.
     pub configuration: VoterConfiguration,
-    /// The whole snapshot's size, in bytes.
+    /// The size of the whole snapshot, in bytes.
     pub total: usize,
-    /// Where this part begins, in bytes.
+    /// The offset of this part, in bytes.
     pub offset: usize,
-    /// The part.
+    /// The text of this part.
     pub data: String,
-    /// The leader's round.
+    /// The leader's current round.
     pub round: HeartbeatRound,
 }
 
 /// Answers a [`SnapshotChunk`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotAnswer {
-    /// The snapshot that is answered.
+    /// The last entry that the snapshot includes.
     pub mark: EntryMark,
-    /// How much of it the sender has, in bytes.
+    /// The number of bytes that have been received.
     pub received: usize,
-    /// The round that is answered.
+    /// The round of the chunk.
     pub round: HeartbeatRound,
 }
 
-/// Tells a node that its identity is out of date.
+/// Notifies a node that its incarnation is outdated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutdatedNotice {
-    /// The latest incarnation of its VM that the log knows.
+    /// The latest incarnation of its VM in the log.
     pub latest: VmIncarnation,
 }
--- a/crates/control/src/agreement/mod.rs
+++ b/crates/control/src/agreement/mod.rs
@@ -1,16 +1,17 @@
-//! The agreed log: a replicated log with a leader, as a state machine without I/O.
+//! The agreed log: a log replicated by Raft consensus, as a state machine without I/O.
 //!
-//! A driver feeds an [`AgreementNode`] with ticks, messages and proposals, and after each of these
-//! carries out its [`AgreementOutput`]. Time is counted in ticks of the driver's choice.
+//! A driver feeds an [`AgreementNode`] with ticks, messages and proposals, and carries out its
+//! [`AgreementOutput`] after each of them. Time is measured in ticks, whose length the driver sets.
 //!
-//! The load it answers: few changes (contracts, members, placement, terms), which must survive the
-//! loss of any minority of the control VMs, of their disks one after the other, and cuts of any
-//! length between them. Without it, two VMs could each believe in another contract or primary, and
-//! a change that an operator was told is accepted could revert.
+//! The log carries infrequent changes (contracts, members, placement, terms). They must survive the
+//! loss of any minority of the control VMs, the loss of their disks one after the other, and
+//! network partitions of any length. Without consensus, two VMs could act on different contracts or
+//! primaries, and a change that was acknowledged to an operator could be reverted.
 //!
-//! The rules, each with the failure that it prevents, stand with the code: elections and pre-vote
-//! in `election`, the leader's batches and the commit rule in `replication`, confirmed reads in
-//! `reads`, snapshots in `snapshot`, lost disks and changes of voters in `membership`.
+//! Each module states its rules and the failure that each rule prevents: `election` has elections,
+//! pre-vote and the quorum check; `replication` has log replication and the commit rule; `reads`
+//! has linearizable reads; `snapshot` has log compaction and snapshot transfer; `membership` has
+//! the replacement of lost disks and changes of voters.
 
 mod durable;
 mod election;
@@ -80,19 +81,20 @@
 use snapshot::IncomingSnapshot;
 use std::mem;
 
-/// A node that has heard of no leader since its start waits the usual election time divided by this.
+/// Divides the election timeout of a node that has had no contact with a leader since its start.
 /// At the usual 500 ms that leaves 170 ms for a round trip and a sync to disk.
-const FIRST_WAIT_PART: u64 = 3;
+const STARTUP_ELECTION_DIVISOR: u64 = 3;
 
-/// The least ticks between two questions of a node that has heard of no leader since its start. At the
-/// usual tick of some 25 ms an answer between regions comes before the next question.
-const LEAST_TURNS: u64 = 3;
+/// The minimum number of ticks between two pre-vote requests of a node that has had no contact with
+/// a leader since its start. At the usual tick of about 25 ms, an answer from another region
+/// arrives before the next request.
+const MIN_PRE_VOTE_INTERVAL_TICKS: u64 = 3;
 
-/// One node of the agreed log.
+/// One node of the agreed log: a Raft peer with its log, term, vote and role.
 ///
 /// # Examples
 ///
-/// A log of one voter needs nobody else:
+/// A log with a single voter commits on its own:
 ///
 /// ```
 /// use ragwort_control::AgreementNode;
@@ -117,11 +119,11 @@
 pub struct AgreementNode {
     settings: AgreementSettings,
     id: VoterId,
-    hard: HardState,
+    hard_state: HardState,
     log: ReplicaLog,
     role: RoleState,
     leader: Option<VoterId>,
-    leader_heard_at: Option<u64>,
+    leader_contact_tick: Option<u64>,
     commit: LogIndex,
     delivered: LogIndex,
     tick: u64,
@@ -134,19 +136,19 @@
 }
 
 impl AgreementNode {
-    /// Counts one tick of time.
+    /// Advances the node's clock by one tick.
     pub fn tick(&mut self) {
         self.tick += 1;
         if self.is_leader() {
             self.tick_leader();
         } else if self.tick >= self.election_due_at {
-            self.end_leader_wait();
+            self.handle_election_timeout();
         }
     }
 
-    /// Takes a message.
+    /// Processes a message from another node.
     ///
-    /// A message for another incarnation or of another formation is dropped.
+    /// A message to another incarnation of this VM, or from another formation, is dropped.
     pub fn receive(&mut self, message: AgreementMessage) {
         if !self.accepts(&message) {
             return;
@@ -155,37 +157,40 @@
             from, term, body, ..
         } = message;
         match body {
-            MessageBody::PreVoteRequest(question) => self.answer_pre_vote(&from, question),
-            MessageBody::PreVoteReply(answer) => self.count_pre_vote(&from, term, answer),
-            MessageBody::VoteRequest(question) => self.answer_vote(&from, question),
-            MessageBody::VoteReply(answer) => self.count_vote(&from, term, answer),
-            MessageBody::Append(batch) => self.take_batch(&from, term, batch),
-            MessageBody::AppendReply(answer) => self.take_append_answer(&from, term, answer),
-            MessageBody::Snapshot(chunk) => self.take_chunk(&from, term, *chunk),
-            MessageBody::SnapshotReply(answer) => self.take_snapshot_answer(&from, term, answer),
-            MessageBody::Join => self.take_join(&from),
-            MessageBody::Outdated(notice) => self.take_outdated_notice(notice),
+            MessageBody::PreVoteRequest(question) => self.handle_pre_vote_request(&from, question),
+            MessageBody::PreVoteReply(answer) => self.handle_pre_vote_answer(&from, term, answer),
+            MessageBody::VoteRequest(question) => self.handle_vote_request(&from, question),
+            MessageBody::VoteReply(answer) => self.handle_vote_answer(&from, term, answer),
+            MessageBody::Append(batch) => self.handle_append(&from, term, batch),
+            MessageBody::AppendReply(answer) => self.handle_append_answer(&from, term, answer),
+            MessageBody::Snapshot(chunk) => self.handle_snapshot_chunk(&from, term, *chunk),
+            MessageBody::SnapshotReply(answer) => self.handle_snapshot_answer(&from, term, answer),
+            MessageBody::Join => self.handle_join(&from),
+            MessageBody::Outdated(notice) => self.handle_outdated_notice(notice),
         }
     }
 
-    /// Proposes a command. It is accepted once its mark appears among the committed entries.
+    /// Appends a command to the log and returns its mark.
+    ///
+    /// The command is accepted once an entry with this mark appears among the committed entries.
     ///
     /// # Errors
     ///
-    /// Returns [`NotLeader`], with the leader if one is known. The command was not appended.
+    /// Returns [`NotLeader`], with the leader if one is known, when this node isn't the leader. The
+    /// command was not appended.
     pub fn propose(&mut self, data: String) -> Result<EntryMark, NotLeader> {
         if !self.is_leader() {
-            return Err(self.not_leader());
+            return Err(self.not_leader_error());
         }
-        Ok(self.append_own(EntryPayload::Data(data)))
+        Ok(self.append_as_leader(EntryPayload::Data(data)))
     }
 
-    /// Returns what the driver has to do; see [`AgreementOutput`] for the order.
+    /// Returns the work that the driver has to carry out; see [`AgreementOutput`] for the order.
     pub fn take_output(&mut self) -> AgreementOutput {
         if self.is_leader() {
             self.advance_commit();
             self.begin_read_round();
-            self.settle_reads();
+            self.confirm_answered_reads();
             self.send_due_messages();
         }
         self.deliver_committed();
@@ -197,27 +202,27 @@
         &self.id
     }
 
-    /// Returns the leader of the present term, if known.
+    /// Returns the leader of the current term, if known.
     pub fn leader(&self) -> Option<&VoterId> {
         self.leader.as_ref()
     }
 
-    /// Returns the present term.
+    /// Returns the current term.
     pub fn term(&self) -> ElectionTerm {
-        self.hard.term
+        self.hard_state.term
     }
 
-    /// Returns the last index that is known to be committed.
+    /// Returns the highest index that this node knows to be committed.
     pub fn commit_index(&self) -> LogIndex {
         self.commit
     }
 
-    /// Returns the last entry's place.
+    /// Returns the term and index of the last entry.
     pub fn last_entry(&self) -> EntryMark {
         self.log.last()
     }
 
-    /// Returns the number of entries held after the snapshot.
+    /// Returns the number of entries after the snapshot.
     pub fn entry_count(&self) -> usize {
         self.log.entries().len()
     }
@@ -238,63 +243,65 @@
             .unwrap_or_default()
     }
 
-    /// Returns the whole durable state, to replace a file that has grown long.
+    /// Returns the whole durable state, with which the driver can replace a long log file.
     ///
-    /// Taken right after an output, it includes that output's writes: a new file with this state,
-    /// synced and put in place of the old one, stands for appending them.
+    /// Right after [`take_output`](Self::take_output), the state includes that output's writes: the
+    /// driver may write and sync a new file with this state and rename it over the old one, in
+    /// place of appending the writes.
     pub fn durable_state(&self) -> DurableState {
         DurableState {
             id: Some(self.id.clone()),
-            hard: self.hard.clone(),
+            hard_state: self.hard_state.clone(),
             log: self.log.clone(),
         }
     }
 
-    /// Returns the formation that the log belongs to; `None` while the node holds no log.
+    /// Returns the formation that the log belongs to; `None` while the node's log is empty.
     pub fn formation(&self) -> Option<FormationId> {
         self.log
             .configuration()
             .map(|configuration| configuration.formation)
     }
 
+    /// Returns whether a message is addressed to this node and isn't from another formation.
     fn accepts(&self, message: &AgreementMessage) -> bool {
         let addressed = match &message.to {
             MessageRecipient::Voter(id) => *id == self.id,
             MessageRecipient::Vm(vm) => *vm == self.id.vm,
         };
-        let related = match (message.formation, self.formation()) {
+        let formation_matches = match (message.formation, self.formation()) {
             (Some(theirs), Some(ours)) => theirs == ours,
             (None, _) | (_, None) => true,
         };
-        addressed && related && message.from != self.id
+        addressed && formation_matches && message.from != self.id
     }
 
-    fn holds(&self, guard: AgreementGuard) -> bool {
-        self.settings.guards.holds(guard)
+    fn enforces(&self, guard: AgreementGuard) -> bool {
+        self.settings.guards.enforces(guard)
     }
 
-    /// Enters a later term without a vote in it.
+    /// Enters a later term without voting in it.
     fn enter_term(&mut self, term: ElectionTerm) {
         self.write_hard_state(HardState { term, vote: None });
     }
 
-    fn write_hard_state(&mut self, hard: HardState) {
-        let same_term = hard.term == self.hard.term;
+    fn write_hard_state(&mut self, hard_state: HardState) {
+        let same_term = hard_state.term == self.hard_state.term;
         invariant!(
-            hard.term >= self.hard.term,
-            "{} went back from term {} to {}",
+            hard_state.term >= self.hard_state.term,
+            "{} would decrease its term from {} to {}",
             self.id,
-            self.hard.term,
-            hard.term
+            self.hard_state.term,
+            hard_state.term
         );
         invariant!(
-            !same_term || self.hard.vote.is_none() || self.hard.vote == hard.vote,
+            !same_term || self.hard_state.vote.is_none() || self.hard_state.vote == hard_state.vote,
             "{} voted twice in term {}",
             self.id,
-            hard.term
+            hard_state.term
         );
-        self.hard = hard.clone();
-        self.output.writes.push(DiskWrite::HardState(hard));
+        self.hard_state = hard_state.clone();
+        self.output.writes.push(DiskWrite::HardState(hard_state));
     }
 
     fn append_entry(&mut self, entry: LogEntry) {
@@ -317,7 +324,7 @@
     fn set_commit(&mut self, commit: LogIndex) {
         invariant!(
             commit >= self.commit,
-            "{} would take back its commit index {} to {commit}",
+            "{} would decrease its commit index from {} to {commit}",
             self.id,
             self.commit
         );
@@ -341,7 +348,7 @@
         let message = AgreementMessage {
             from: self.id.clone(),
             formation: self.formation(),
-            term: self.hard.term,
+            term: self.hard_state.term,
             to,
             body,
         };
@@ -355,51 +362,54 @@
         self.send(MessageRecipient::Voter(to.clone()), body);
     }
 
-    /// Draws the time until this node acts without a leader.
+    /// Draws a random election timeout and restarts the timer.
     ///
-    /// After a loss of power of all VMs nobody leads, and until somebody does no lease is granted
-    /// and every caller is refused. A node that has heard of no leader since its start can't have
-    /// missed one's heartbeats, so it waits a part of the usual time only. If one does lead, the
-    /// others refuse the pre-vote, and nothing is disturbed.
+    /// After a power loss of all VMs there is no leader, and until one is elected no lease is
+    /// granted and every caller is refused. A node that has had no contact with a leader since its
+    /// start can't have missed any heartbeats, so its timeout is only a fraction of the usual one.
+    /// If there is a leader after all, the other voters refuse the pre-vote and the leader stays.
     fn reset_election_timer(&mut self) {
         let usual = u64::from(self.settings.election_ticks.max(1));
-        let least = match self.leader_heard_at {
+        let least = match self.leader_contact_tick {
             Some(_) => usual,
-            None => usual.div_ceil(FIRST_WAIT_PART),
+            None => usual.div_ceil(STARTUP_ELECTION_DIVISOR),
         };
         let wait = self.random.random_range(least..2 * least);
         self.election_due_at = self.tick + wait;
     }
 
-    /// Sets when this node asks for the first time whether it would be elected, if it has heard of no
-    /// leader since its start.
+    /// Schedules the first pre-vote request after a start.
     ///
-    /// When power returns to all VMs, each moment until there is a leader is one without service, so
-    /// the first question comes with the first tick. The voters ask in the order of their names, a
-    /// tick apart: two that asked at once could split the votes, and an election time would pass.
-    fn await_first_turn(&mut self) {
+    /// When power returns to all VMs, there is no service until a leader is elected, so the first
+    /// voter requests pre-votes at its first tick. The voters follow one another in the order of
+    /// their names, one tick apart: two simultaneous candidates could split the votes, which would
+    /// cost an election timeout.
+    fn schedule_first_pre_vote(&mut self) {
         self.reset_election_timer();
-        if let Some(rank) = self.find_rank() {
+        if let Some(rank) = self.startup_rank() {
             self.election_due_at = self.tick + 1 + rank;
         }
     }
 
-    /// Sets when a node that has asked in vain asks again, if it has heard of no leader since its
-    /// start: when all other voters have had their turn.
+    /// Schedules the next pre-vote request, in case the current one collects no majority.
     ///
-    /// Others may start at any moment and make a majority. A question costs a message to each voter and
-    /// nothing on any disk. Once votes themselves are asked for, the usual wait holds, because a slow
-    /// disk may need it.
-    fn await_next_turn(&mut self) {
+    /// A node that has had no contact with a leader since its start repeats the request after as
+    /// many ticks as there are voters, or [`MIN_PRE_VOTE_INTERVAL_TICKS`] if that is more: other
+    /// voters may start at any moment and complete a majority, and a pre-vote costs one message to
+    /// each voter and no disk write. A node that has requested actual votes waits for a random
+    /// election timeout instead, because a slow disk may need that long.
+    fn schedule_next_pre_vote(&mut self) {
         self.reset_election_timer();
-        if self.find_rank().is_some() {
-            self.election_due_at = self.tick + (self.voters().len() as u64).max(LEAST_TURNS);
+        if self.startup_rank().is_some() {
+            self.election_due_at =
+                self.tick + (self.voters().len() as u64).max(MIN_PRE_VOTE_INTERVAL_TICKS);
         }
     }
 
-    /// Returns this node's place among the voters, by name, while it has heard of no leader.
-    fn find_rank(&self) -> Option<u64> {
-        if self.leader_heard_at.is_some() {
+    /// Returns this voter's rank among the voters in the order of their names; `None` for a node
+    /// that isn't a voter or has had contact with a leader since its start.
+    fn startup_rank(&self) -> Option<u64> {
+        if self.leader_contact_tick.is_some() {
             return None;
         }
         let is_voter = self.voters().contains(&self.id);
--- a/crates/control/src/agreement/output.rs
+++ b/crates/control/src/agreement/output.rs
@@ -1,4 +1,4 @@
-//! What a node asks its driver to do.
+//! The work that a node hands to its driver: disk writes, messages, committed entries and reads.
 
 use super::durable::DiskWrite;
 use super::entry::EntryMark;
@@ -6,34 +6,35 @@
 use super::message::AgreementMessage;
 use ragwort_types::VmName;
 
-/// What a node asks its driver to do, in this order.
+/// The work that a node hands to its driver, to be carried out in this order.
 ///
 /// 1. Append `writes` to the disk and sync them.
-/// 2. Send `messages`, put `install` in place, apply `committed`, then answer `confirmed_reads`
-///    and refuse `lost_reads`.
+/// 2. Send `messages`, install `install`, apply `committed`, then answer `confirmed_reads` and
+///    refuse `lost_reads`.
 ///
-/// Nothing of the second step may happen before the first is done, and the next output is taken
-/// after both. A message vouches for what the disk holds; sent too early and followed by a crash,
-/// it lets a vote be given twice or an acknowledged entry vanish. If the sync fails, the process
-/// must end: the node can't take back what it has counted on.
+/// No part of the second step may start before the first is complete, and the next output may be
+/// taken only after both. A message asserts the content of the disk: if it is sent before the sync
+/// and the process crashes in between, a vote may be given twice or an acknowledged entry may be
+/// lost. If the sync fails, the process must exit: the node's state already includes the writes and
+/// can't be rolled back.
 #[derive(Clone, Debug, Default)]
 pub struct AgreementOutput {
-    /// To be appended to the disk and synced before anything else.
+    /// Writes to append to the disk and sync before anything else.
     pub writes: Vec<DiskWrite>,
-    /// To be sent; each may be lost.
+    /// Messages to send; each may be lost.
     pub messages: Vec<OutboundMessage>,
-    /// Replaces the applied state.
+    /// A snapshot that replaces the applied state.
     pub install: Option<SnapshotData>,
-    /// To be applied in order, after `install`.
+    /// Entries to apply in order, after `install`.
     pub committed: Vec<CommittedEntry>,
-    /// May be answered from the state with all of `committed` applied.
+    /// Reads to answer from the state after all of `committed` is applied.
     pub confirmed_reads: Vec<ReadTicket>,
-    /// Can't be answered here any more, because the node is not the leader.
+    /// Reads that can't be answered here, because the node is no longer the leader.
     pub lost_reads: Vec<ReadTicket>,
 }
 
 impl AgreementOutput {
-    /// Says whether there is nothing to do.
+    /// Returns whether there is no work.
     pub fn is_empty(&self) -> bool {
         self.writes.is_empty()
             && self.messages.is_empty()
@@ -44,7 +45,7 @@
     }
 }
 
-/// A message and the VM that it goes to.
+/// A message and its receiving VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutboundMessage {
     /// The receiving VM.
@@ -53,16 +54,16 @@
     pub message: AgreementMessage,
 }
 
-/// An entry that will never change again.
+/// An entry that is committed, and so will never change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CommittedEntry {
-    /// The entry's place. A proposal is committed when its own mark appears; another mark at the
-    /// same index means that the proposal was lost.
+    /// The entry's term and index. A proposal is committed when an entry with its mark appears; an
+    /// entry with the same index and another term means that the proposal was lost.
     pub mark: EntryMark,
-    /// The proposed text; `None` for entries of the log's own.
+    /// The proposed command; `None` for an entry that the log itself appended.
     pub data: Option<String>,
 }
 
-/// A read that waits until a majority has confirmed the leader.
+/// Identifies a read that waits until a majority has confirmed the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReadTicket(pub u64);
--- a/crates/control/src/agreement/reads.rs
+++ b/crates/control/src/agreement/reads.rs
@@ -1,9 +1,9 @@
-//! Reads that a majority confirms.
+//! Linearizable reads, confirmed by a majority (Raft's read index).
 //!
-//! A leader that was replaced without noticing it would answer from a state that has moved on
-//! elsewhere: an operator would see a contract that was changed before the question was asked. So
-//! each read waits for a round of heartbeats that began after it; a majority that answers it
-//! can't have elected another leader before the read came in.
+//! A leader that was replaced without its knowledge would answer from stale state: an operator
+//! would see a contract that was changed before the read began. Therefore each read waits for a
+//! heartbeat round that began after it. When a majority answers that round, no other leader can
+//! have been elected before the read arrived.
 
 use super::AgreementNode;
 use super::entry::LogIndex;
@@ -12,28 +12,29 @@
 use super::role::RoleState;
 use super::settings::AgreementGuard;
 
-/// A read that waits for a majority.
+/// A read that waits for a majority to confirm the leader.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingRead {
     pub(super) ticket: ReadTicket,
-    /// The round that must be answered, once it has begun.
+    /// The number of the round that a majority must answer; `None` until that round begins.
     round: Option<u64>,
 }
 
 impl AgreementNode {
-    /// Asks for a read's confirmation.
+    /// Begins the confirmation of a linearizable read.
     ///
-    /// The ticket comes back among the output's confirmed reads, when the committed entries
-    /// delivered up to that output cover all that was committed anywhere before this call; or
-    /// among its lost reads, when this node can't say.
+    /// The ticket is returned in a later output: among its confirmed reads, when the committed
+    /// entries delivered up to that output include everything that was committed on any node before
+    /// this call; or among its lost reads, when this node lost the leadership before the
+    /// confirmation.
     ///
     /// # Errors
     ///
-    /// Returns [`NotLeader`], with the leader if one is known.
+    /// Returns [`NotLeader`], with the leader if one is known, when this node isn't the leader.
     pub fn confirm_read(&mut self) -> Result<ReadTicket, NotLeader> {
         let ticket = ReadTicket(self.next_ticket);
-        let Some(state) = self.leader_state() else {
-            return Err(self.not_leader());
+        let Some(state) = self.leader_state_mut() else {
+            return Err(self.not_leader_error());
         };
         state.reads.push(PendingRead {
             ticket,
@@ -43,10 +44,10 @@
         Ok(ticket)
     }
 
-    /// Begins a round for reads that came in since the last one.
+    /// Begins a heartbeat round for the reads that arrived since the last one.
     pub(super) fn begin_read_round(&mut self) {
         let tick = self.tick;
-        let Some(state) = self.leader_state() else {
+        let Some(state) = self.leader_state_mut() else {
             return;
         };
         if state.reads.iter().all(|read| read.round.is_some()) {
@@ -60,13 +61,13 @@
     }
 
     /// Confirms the reads whose round a majority has answered.
-    pub(super) fn settle_reads(&mut self) {
-        if self.holds(AgreementGuard::ReadAfterOwnEntry) && !self.has_own_commit() {
-            // Entries of earlier leaders may be committed beyond this node's commit index until
-            // its own first entry is.
+    pub(super) fn confirm_answered_reads(&mut self) {
+        if self.enforces(AgreementGuard::ReadAfterOwnEntry) && !self.has_committed_in_term() {
+            // Until this leader's own first entry is committed, entries of earlier leaders may be
+            // committed beyond its commit index.
             return;
         }
-        let answered = self.find_answered_round();
+        let answered = self.majority_answered_round();
         let RoleState::Leader(state) = &mut self.role else {
             return;
         };
@@ -80,15 +81,15 @@
         });
     }
 
-    /// Returns the latest round that a majority has answered.
-    fn find_answered_round(&self) -> u64 {
-        let Some(state) = self.view_leader_state() else {
+    /// Returns the number of the latest round that a majority has answered.
+    fn majority_answered_round(&self) -> u64 {
+        let Some(state) = self.leader_state() else {
             return 0;
         };
         let Some(configuration) = self.log.configuration() else {
             return 0;
         };
-        if !self.holds(AgreementGuard::ReadConfirmation) {
+        if !self.enforces(AgreementGuard::ReadConfirmation) {
             return state.round.number;
         }
         let answered_by = |voter| match state.peers.get(voter) {
@@ -102,9 +103,9 @@
         answered.get(place).copied().unwrap_or_default()
     }
 
-    /// Says whether this leader has committed an entry of its own term.
-    pub(super) fn has_own_commit(&self) -> bool {
-        let first = self.view_leader_state().map(|state| state.first_index);
+    /// Returns whether this node leads and has committed an entry of its own term.
+    pub(super) fn has_committed_in_term(&self) -> bool {
+        let first = self.leader_state().map(|state| state.first_index);
         first.is_some_and(|first: LogIndex| self.commit >= first)
     }
 }
--- a/crates/control/src/agreement/replication.rs
+++ b/crates/control/src/agreement/replication.rs
@@ -1,4 +1,10 @@
-//! The leader's batches, the followers' answers and the commit rule.
+//! Log replication by Raft: the leader's batches, the followers' answers and the commit rule.
+//!
+//! A follower appends a batch only if it has the entry before it, so two logs with the same entry
+//! are equal up to that entry. The leader commits an entry of its own term, and with it all entries
+//! before it, once a majority of the voters has synced it to disk. Batches to each follower are
+//! pipelined within the limits of the settings, so that no other follower waits for one that is far
+//! behind.
 
 use super::AgreementNode;
 use super::entry::ElectionTerm;
@@ -21,46 +27,50 @@
 use super::settings::AgreementSettings;
 
 impl AgreementNode {
-    /// Appends an entry of the leader's own term.
-    pub(super) fn append_own(&mut self, payload: EntryPayload) -> EntryMark {
-        let mark = EntryMark::new(self.hard.term, self.log.last().index.next());
+    /// Appends a new entry in the leader's term.
+    pub(super) fn append_as_leader(&mut self, payload: EntryPayload) -> EntryMark {
+        let mark = EntryMark::new(self.hard_state.term, self.log.last().index.next());
         self.append_entry(LogEntry { mark, payload });
         mark
     }
 
-    /// Commits what a majority holds.
+    /// Commits the entries that a majority of the voters has stored.
     pub(super) fn advance_commit(&mut self) {
-        let Some(state) = self.view_leader_state() else {
+        let Some(state) = self.leader_state() else {
             return;
         };
         let Some(configuration) = self.log.configuration() else {
             return;
         };
         let last = self.log.last().index;
-        let held_by = |voter: &VoterId| match state.peers.get(voter) {
+        let stored_by = |voter: &VoterId| match state.peers.get(voter) {
             Some(progress) => progress.matched,
             None if *voter == self.id => last,
             None => LogIndex::default(),
         };
-        let mut held: Vec<LogIndex> = configuration.voters.iter().map(held_by).collect();
-        held.sort_unstable_by(|left, right| right.cmp(left));
-        let Some(agreed) = held.get(configuration.majority() - 1).copied() else {
+        let mut stored_indices: Vec<LogIndex> =
+            configuration.voters.iter().map(stored_by).collect();
+        stored_indices.sort_unstable_by(|left, right| right.cmp(left));
+        let Some(majority_index) = stored_indices.get(configuration.majority() - 1).copied() else {
             return;
         };
-        // A majority may hold an entry of an earlier term and still lose it to a leader whose last
-        // entry is of a later term. Only an entry of this term shuts such leaders out, and with it
-        // all entries before.
-        let own_term = self.log.term_at(agreed) == Some(self.hard.term);
-        if agreed > self.commit && (own_term || !self.holds(AgreementGuard::OwnTermCommit)) {
-            self.set_commit(agreed);
-            if let Some(state) = self.leader_state() {
+        // An entry of an earlier term may be stored by a majority and still be replaced by a leader
+        // whose last entry is of a later term. An entry of this term that is stored by a majority
+        // rules out such leaders, and so commits all entries before it too.
+        let own_term = self.log.term_at(majority_index) == Some(self.hard_state.term);
+        if majority_index > self.commit
+            && (own_term || !self.enforces(AgreementGuard::OwnTermCommit))
+        {
+            self.set_commit(majority_index);
+            if let Some(state) = self.leader_state_mut() {
                 state.make_messages_due();
             }
-            self.drive_membership();
+            self.advance_repair();
         }
     }
 
-    /// Sends every follower what it lacks, within the bounds of the settings.
+    /// Sends the entries, snapshot parts and heartbeats that are due to each follower, within the
+    /// limits of the settings.
     pub(super) fn send_due_messages(&mut self) {
         let RoleState::Leader(state) = &mut self.role else {
             return;
@@ -73,10 +83,13 @@
             tick: self.tick,
         };
         let mut due = Vec::new();
-        // A VM that is only expected to join has no incarnation yet.
-        let peers = state.peers.iter_mut().filter(|(id, _)| !id.is_expected());
+        // A VM that hasn't asked to join yet has no incarnation to send to.
+        let peers = state
+            .peers
+            .iter_mut()
+            .filter(|(id, _)| !id.is_placeholder());
         for (id, progress) in peers {
-            let bodies = sender.take_due(progress);
+            let bodies = sender.collect_messages(progress);
             due.extend(bodies.into_iter().map(|body| (id.clone(), body)));
         }
         for (id, body) in due {
@@ -84,13 +97,13 @@
         }
     }
 
-    /// Takes a leader's entries or heartbeat.
-    pub(super) fn take_batch(&mut self, from: &VoterId, term: ElectionTerm, batch: EntryBatch) {
+    /// Handles a leader's entries or heartbeat, and answers it.
+    pub(super) fn handle_append(&mut self, from: &VoterId, term: ElectionTerm, batch: EntryBatch) {
         let round = batch.round;
-        let outcome = if self.heed_leader(from, term) {
+        let outcome = if self.accept_leader(from, term) {
             self.append_batch(batch)
         } else {
-            // The answer carries this node's higher term, from which the sender learns of it.
+            // The answer carries this node's later term, by which the sender learns of it.
             AppendOutcome::Rejected(AppendRejection {
                 previous: batch.previous.index,
                 hint: LogIndex::default(),
@@ -100,33 +113,34 @@
         self.send_to(from, MessageBody::AppendReply(answer));
     }
 
-    /// Follows the leader of `term`, unless this node's term is higher.
-    pub(super) fn heed_leader(&mut self, from: &VoterId, term: ElectionTerm) -> bool {
-        if term < self.hard.term {
+    /// Follows `from` as the leader of `term`; returns `false` if this node's term is later.
+    pub(super) fn accept_leader(&mut self, from: &VoterId, term: ElectionTerm) -> bool {
+        if term < self.hard_state.term {
             return false;
         }
-        if term > self.hard.term {
+        if term > self.hard_state.term {
             self.follow_term(term, Some(from.clone()));
         }
-        self.hear_leader(from);
+        self.record_leader_contact(from);
         true
     }
 
+    /// Appends the entries of a batch that this node doesn't have, if it has the entry before them.
     fn append_batch(&mut self, batch: EntryBatch) -> AppendOutcome {
         let previous = batch.previous;
         let base = self.log.base().index;
         if previous.index > base && self.log.term_at(previous.index) != Some(previous.term) {
             return AppendOutcome::Rejected(AppendRejection {
                 previous: previous.index,
-                hint: self.find_hint(previous.index),
+                hint: self.conflict_hint(previous.index),
             });
         }
         let last = LogIndex(previous.index.0 + batch.entries.len() as u64);
         for entry in batch.entries {
             let index = entry.mark.index;
-            // Entries up to the snapshot are committed, and so are the same as the leader's. An
-            // entry that is held already must stay: a batch that was overtaken by a later one
-            // would otherwise cut off entries that this node has acknowledged.
+            // Entries included in the snapshot are committed and therefore equal to the leader's.
+            // An entry that is already stored must not be appended again: a batch that arrives
+            // after a later one would truncate entries that this node has acknowledged.
             if index > base && self.log.term_at(index) != Some(entry.mark.term) {
                 self.append_entry(entry);
             }
@@ -139,8 +153,11 @@
         AppendOutcome::Accepted(matched)
     }
 
-    /// Returns the last index before a mismatch that may be common with the leader.
-    fn find_hint(&self, mismatch: LogIndex) -> LogIndex {
+    /// Returns the last index before a mismatch that may match the leader's log.
+    ///
+    /// The hint skips all entries of the conflicting term, so that the leader needs one probe per
+    /// term and not one per entry.
+    fn conflict_hint(&self, mismatch: LogIndex) -> LogIndex {
         let last = self.log.last().index;
         if last < mismatch {
             return last;
@@ -149,54 +166,55 @@
         before.max(self.commit)
     }
 
-    /// Takes a follower's answer to a batch.
-    pub(super) fn take_append_answer(
+    /// Handles a follower's answer to a batch.
+    pub(super) fn handle_append_answer(
         &mut self,
         from: &VoterId,
         term: ElectionTerm,
         answer: AppendAnswer,
     ) {
-        if !self.heed_follower(from, term, answer.round) {
+        if !self.accept_answer(from, term, answer.round) {
             return;
         }
         let Some(progress) = self.find_progress(from) else {
             return;
         };
         match answer.outcome {
-            AppendOutcome::Accepted(index) => progress.note_accepted(index),
-            AppendOutcome::Rejected(rejection) => progress.note_rejected(rejection),
+            AppendOutcome::Accepted(index) => progress.record_accepted(index),
+            AppendOutcome::Rejected(rejection) => progress.record_rejected(rejection),
         }
-        self.drive_membership();
+        self.advance_repair();
     }
 
-    /// Notes a follower's answer; says whether it belongs to the term that this node leads.
-    pub(super) fn heed_follower(
+    /// Records the round of a follower's answer; returns whether the answer belongs to the term
+    /// that this node leads.
+    pub(super) fn accept_answer(
         &mut self,
         from: &VoterId,
         term: ElectionTerm,
         round: HeartbeatRound,
     ) -> bool {
-        let own_term = self.hard.term;
+        let own_term = self.hard_state.term;
         let Some(progress) = self.find_progress(from) else {
             return false;
         };
         if term > own_term {
-            self.outbid_term(term);
+            self.campaign_above(term);
             return false;
         }
         if term < own_term {
             return false;
         }
-        progress.note_round(round);
+        progress.record_round(round);
         true
     }
 
     pub(super) fn find_progress(&mut self, id: &VoterId) -> Option<&mut PeerProgress> {
-        self.leader_state()?.peers.get_mut(id)
+        self.leader_state_mut()?.peers.get_mut(id)
     }
 }
 
-/// What is needed to make batches for followers.
+/// Creates the messages for followers from the leader's log and state.
 pub(super) struct BatchSender<'a> {
     pub(super) log: &'a ReplicaLog,
     pub(super) settings: &'a AgreementSettings,
@@ -206,10 +224,10 @@
 }
 
 impl BatchSender<'_> {
-    /// Returns the messages that a follower is due.
-    fn take_due(&self, progress: &mut PeerProgress) -> Vec<MessageBody> {
+    /// Returns the messages that are due to a follower.
+    fn collect_messages(&self, progress: &mut PeerProgress) -> Vec<MessageBody> {
         let mut bodies = Vec::new();
-        self.choose_snapshot(progress);
+        self.switch_to_snapshot(progress);
         match progress.mode {
             SendMode::Probe => {}
             SendMode::Stream => self.push_batches(progress, &mut bodies),
@@ -222,6 +240,7 @@
         bodies
     }
 
+    /// Adds batches up to the limit of unacknowledged entries.
     fn push_batches(&self, progress: &mut PeerProgress, bodies: &mut Vec<MessageBody>) {
         let last = self.log.last().index;
         let window = progress.matched.0 + self.settings.max_entries_in_flight;
@@ -229,15 +248,15 @@
             let Some(previous) = self.mark_before(progress.next) else {
                 return;
             };
-            let entries = self.cut_batch(progress.next, LogIndex(window));
+            let entries = self.next_batch_entries(progress.next, LogIndex(window));
             progress.next = LogIndex(progress.next.0 + entries.len() as u64);
             progress.message_due = false;
             bodies.push(self.make_batch(previous, entries));
         }
     }
 
-    /// Returns the entries from `from` that fit into one message: at least one.
-    fn cut_batch(&self, from: LogIndex, to: LogIndex) -> Vec<LogEntry> {
+    /// Returns the entries from `from` up to `to` that fit into one message, but at least one.
+    fn next_batch_entries(&self, from: LogIndex, to: LogIndex) -> Vec<LogEntry> {
         let mut bytes = 0;
         let fits = |entry: &&LogEntry| {
             let first = bytes == 0;
@@ -250,8 +269,8 @@
     }
 
     fn make_heartbeat(&self, progress: &PeerProgress) -> MessageBody {
-        // While a snapshot is under way there is no entry to build on; a batch that builds on the
-        // start of the log says no more than that the leader is there.
+        // During a snapshot transfer the follower doesn't have the entry before `next`. An empty
+        // batch at the start of the log is always accepted, and serves as a heartbeat only.
         let previous = match progress.mode {
             SendMode::Snapshot(_) => EntryMark::default(),
             SendMode::Probe | SendMode::Stream => {
@@ -270,6 +289,7 @@
         })
     }
 
+    /// Returns the mark of the entry before `index`; `None` if that entry was compacted.
     pub(super) fn mark_before(&self, index: LogIndex) -> Option<EntryMark> {
         let previous = index.previous();
         let term = self.log.term_at(previous)?;
--- a/crates/control/src/agreement/role.rs
+++ b/crates/control/src/agreement/role.rs
@@ -1,4 +1,4 @@
-//! The roles of a node.
+//! The roles of a node: leader, candidate, follower, learner or joining; and the leader's state.
 
 use super::AgreementNode;
 use super::entry::LogIndex;
@@ -11,35 +11,35 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What a node is at present, for operators and the driver.
+/// The current role of a node, as reported to operators and the driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AgreementRole {
-    /// It holds no log, or isn't a member of it, and asks to be taken in.
+    /// It has no log, or isn't a member, and sends join requests.
     Joining,
-    /// It follows the log without a vote.
+    /// It receives the log without a vote.
     Learner,
-    /// It follows a leader or waits for one.
+    /// It follows a leader, or waits for one.
     Follower,
-    /// It asks whether it would be elected.
+    /// It collects pre-votes.
     PreCandidate,
-    /// It asks for votes.
+    /// It collects votes.
     Candidate,
-    /// It leads the present term.
+    /// It leads the current term.
     Leader,
 }
 
-/// How far a member has come, as its leader knows it.
+/// The replication progress of a member, as its leader knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberProgress {
     /// The member.
     pub id: VoterId,
-    /// The last entry that it is known to hold.
+    /// The last index up to which it is known to have stored the leader's log.
     pub matched: LogIndex,
-    /// The ticks since the latest round that it has answered began.
+    /// The number of ticks since the start of the latest round that it has answered.
     pub silent_ticks: u64,
 }
 
-/// An answer that only the leader can give.
+/// The error of a request that only the leader can serve.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NotLeader {
     /// The leader, if one is known.
@@ -57,10 +57,10 @@
 
 impl std::error::Error for NotLeader {}
 
-/// The voters that have said yes.
+/// The voters that have granted their vote or pre-vote.
 pub(super) type VoteTally = SmallVec<[VoterId; 5]>;
 
-/// What a node is at present, with what it remembers for it.
+/// The current role of a node with its state.
 #[derive(Debug)]
 pub(super) enum RoleState {
     Follower,
@@ -69,22 +69,22 @@
     Leader(LeaderState),
 }
 
-/// What a leader remembers; all of it is lost with the term.
+/// The volatile state of a leader, discarded when it steps down.
 #[derive(Debug)]
 pub(super) struct LeaderState {
-    /// The leader's own first entry.
+    /// The index of the first entry of the leader's term.
     pub(super) first_index: LogIndex,
-    /// How far each other member has come.
+    /// The replication progress of each other member.
     pub(super) peers: BTreeMap<VoterId, PeerProgress>,
-    /// The present round.
+    /// The current heartbeat round.
     pub(super) round: HeartbeatRound,
-    /// Reads that wait for a majority.
+    /// Reads that wait for a majority to confirm the leader.
     pub(super) reads: Vec<PendingRead>,
 }
 
 impl LeaderState {
-    /// Follows a change of the configuration.
-    pub(super) fn follow_configuration(
+    /// Adds and removes peers according to a changed configuration.
+    pub(super) fn update_peers(
         &mut self,
         own: &VoterId,
         configuration: &VoterConfiguration,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Begins a round: every follower is asked to answer it.
+    /// Begins a heartbeat round, which every follower has to answer.
     pub(super) fn begin_round(&mut self, tick: u64) {
         self.round = HeartbeatRound {
             number: self.round.number + 1,
@@ -110,7 +110,7 @@
         self.make_messages_due();
     }
 
-    /// Lets every follower get a message, with entries or without.
+    /// Marks a message as due to every follower, with or without entries.
     pub(super) fn make_messages_due(&mut self) {
         for progress in self.peers.values_mut() {
             progress.message_due = true;
@@ -119,24 +119,24 @@
 }
 
 impl AgreementNode {
-    /// Returns what the node is at present.
+    /// Returns the node's current role.
     pub fn role(&self) -> AgreementRole {
         match &self.role {
             RoleState::Leader(_) => AgreementRole::Leader,
             RoleState::Candidate(_) => AgreementRole::Candidate,
             RoleState::PreCandidate(_) => AgreementRole::PreCandidate,
-            RoleState::Follower => self.passive_role(),
+            RoleState::Follower => self.follower_role(),
         }
     }
 
-    /// Says whether the node leads the present term, as far as it knows.
+    /// Returns whether the node leads the current term, as far as it knows.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, RoleState::Leader(_))
     }
 
-    /// Lists how far the other members have come; empty on any node but the leader.
+    /// Returns the replication progress of the other members; empty on any node but the leader.
     pub fn member_progress(&self) -> Vec<MemberProgress> {
-        let Some(state) = self.view_leader_state() else {
+        let Some(state) = self.leader_state() else {
             return Vec::new();
         };
         let peers = state.peers.iter().map(|(id, progress)| MemberProgress {
@@ -147,7 +147,7 @@
         peers.collect()
     }
 
-    fn passive_role(&self) -> AgreementRole {
+    fn follower_role(&self) -> AgreementRole {
         match self.log.configuration() {
             Some(configuration) if configuration.is_voter(&self.id) => AgreementRole::Follower,
             Some(configuration) if configuration.is_learner(&self.id) => AgreementRole::Learner,
@@ -155,20 +155,20 @@
         }
     }
 
-    pub(super) fn not_leader(&self) -> NotLeader {
+    pub(super) fn not_leader_error(&self) -> NotLeader {
         NotLeader {
             leader: self.leader.clone(),
         }
     }
 
-    pub(super) fn leader_state(&mut self) -> Option<&mut LeaderState> {
+    pub(super) fn leader_state_mut(&mut self) -> Option<&mut LeaderState> {
         match &mut self.role {
             RoleState::Leader(state) => Some(state),
             RoleState::Follower | RoleState::PreCandidate(_) | RoleState::Candidate(_) => None,
         }
     }
 
-    pub(super) fn view_leader_state(&self) -> Option<&LeaderState> {
+    pub(super) fn leader_state(&self) -> Option<&LeaderState> {
         match &self.role {
             RoleState::Leader(state) => Some(state),
             RoleState::Follower | RoleState::PreCandidate(_) | RoleState::Candidate(_) => None,
--- a/crates/control/src/agreement/settings.rs
+++ b/crates/control/src/agreement/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the agreed log.
+//! Settings of the agreed log, and its guards: the protocol rules that tests can disable.
 
 use super::entry::VoterId;
 use ragwort_types::VmName;
@@ -7,31 +7,33 @@
 /// Settings of an [`AgreementNode`](super::AgreementNode).
 #[derive(Clone, Debug)]
 pub struct AgreementSettings {
-    /// This VM, with the incarnation to take if its disk turns out to be empty.
+    /// The identity of this VM; the incarnation is used only if the disk is empty.
     pub id: VoterId,
-    /// The control VMs that an empty node asks to be taken in; this VM may be among them.
+    /// The control VMs to which an empty node sends join requests; this VM may be among them.
     pub peers: Vec<VmName>,
-    /// The least ticks without a leader before an election; each wait is drawn from this number up
-    /// to twice as many. Ten times [`heartbeat_ticks`](Self::heartbeat_ticks) rides out the loss
-    /// of a few heartbeats.
+    /// The minimum election timeout, in ticks. Each timeout is drawn at random from this number up
+    /// to twice as many. Ten times [`heartbeat_ticks`](Self::heartbeat_ticks) tolerates the loss of
+    /// a few heartbeats.
     pub election_ticks: u32,
-    /// The ticks between a leader's heartbeats.
+    /// The interval between a leader's heartbeats, in ticks.
     pub heartbeat_ticks: u32,
-    /// The seed of the election waits; mixed with the VM's name, so that all VMs may have the same.
+    /// The seed of the random election timeouts. It is combined with a hash of the node's identity,
+    /// so all VMs may have the same seed.
     pub seed: u64,
-    /// The most entries in one message.
+    /// The maximum number of entries in one message.
     pub max_batch_entries: usize,
-    /// The most bytes of payload in one message; a larger single entry goes alone.
+    /// The maximum payload of one message, in bytes; a larger entry is sent in a message of its
+    /// own.
     pub max_batch_bytes: usize,
-    /// The most entries sent to a follower ahead of its acknowledgement.
+    /// The maximum number of unacknowledged entries sent to a follower.
     pub max_entries_in_flight: u64,
-    /// Which guards are in force; all of them but in runs that show what a guard prevents.
+    /// The guards in force; all of them, except in tests that show what a guard prevents.
     pub guards: GuardSet,
 }
 
 impl AgreementSettings {
-    /// Creates settings with the usual figures: an election after 10 to 20 ticks of silence, a
-    /// heartbeat every tick, batches of 64 entries or 64 KiB and four batches in flight.
+    /// Creates settings with the default values: an election timeout of 10 to 20 ticks, a heartbeat
+    /// every tick, batches of up to 64 entries or 64 KiB, and four such batches in flight.
     pub fn new(id: VoterId, peers: Vec<VmName>, seed: u64) -> Self {
         Self {
             id,
@@ -47,38 +49,39 @@
     }
 }
 
-/// A rule of the agreed log that can be left out to show what it prevents.
+/// A guard: a rule of the protocol that tests can disable to show which failure it prevents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AgreementGuard {
-    /// A candidate first asks whether it would be elected, without raising its term.
+    /// A node collects pre-votes before it raises its term and requests votes.
     PreVote,
-    /// No vote while a leader was heard within the least election time.
+    /// A node that had contact with a leader within the minimum election timeout refuses votes and
+    /// pre-votes to other candidates.
     VoteStickiness,
-    /// A leader that hears no majority for an election time steps down.
+    /// A leader that no majority has answered for an election timeout steps down.
     QuorumCheck,
-    /// Only entries of the present term are committed by counting.
+    /// Only entries of the current term are committed by counting the voters that stored them.
     OwnTermCommit,
     /// A read is answered after a majority has confirmed the leader.
     ReadConfirmation,
-    /// A leader answers reads after it has committed an entry of its own term.
+    /// A leader answers reads only after it has committed an entry of its own term.
     ReadAfterOwnEntry,
-    /// A node that knows no configuration has no vote.
+    /// A node without a configuration doesn't vote.
     ConfiguredVote,
-    /// A learner becomes a voter after it has caught up.
+    /// A learner becomes a voter only after it has caught up.
     CatchUpFirst,
     /// A voter is replaced by two changes of one voter each.
     SingleVoterChange,
-    /// The next change of voters waits until the former is committed.
+    /// The next change of voters waits until the previous one is committed.
     OneChangeAtATime,
 }
 
-/// The guards in force.
+/// The set of guards in force.
 ///
-/// Leaving one out breaks the log by design. It is only for the runs in `docs/design/agreement.md`
-/// that show what each guard prevents.
+/// Disabling a guard deliberately breaks the log's guarantees. That is only for the tests described
+/// in `docs/design/agreement.md`, which show what each guard prevents.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GuardSet {
-    left_out: SmallVec<[AgreementGuard; 2]>,
+    disabled: SmallVec<[AgreementGuard; 2]>,
 }
 
 impl GuardSet {
@@ -92,14 +95,14 @@
         Self::all().and_without(guard)
     }
 
-    /// Returns this set without one more guard.
+    /// Returns this set with one more guard disabled.
     pub fn and_without(mut self, guard: AgreementGuard) -> Self {
-        self.left_out.push(guard);
+        self.disabled.push(guard);
         self
     }
 
-    /// Says whether a guard is in force.
-    pub fn holds(&self, guard: AgreementGuard) -> bool {
-        !self.left_out.contains(&guard)
+    /// Returns whether a guard is in force.
+    pub fn enforces(&self, guard: AgreementGuard) -> bool {
+        !self.disabled.contains(&guard)
     }
 }
--- a/crates/control/src/agreement/snapshot.rs
+++ b/crates/control/src/agreement/snapshot.rs
@@ -1,4 +1,8 @@
-//! Snapshots: compacting the log, and sending its state to followers that lack compacted entries.
+//! Log compaction, and the transfer of snapshots to followers that need compacted entries.
+//!
+//! A snapshot is sent in parts of bounded size, one at a time: each part is sent after the previous
+//! one was acknowledged, and again if its acknowledgement doesn't arrive within the minimum
+//! election timeout.
 
 use super::AgreementNode;
 use super::durable::DiskWrite;
@@ -16,27 +20,27 @@
 use super::replication::BatchSender;
 use std::fmt;
 
-/// Why a log can't be compacted.
+/// The reason why a log can't be compacted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CompactError {
-    /// The index lies beyond the last delivered entry.
+    /// The index is after the last delivered entry.
     NotDelivered,
-    /// The log was compacted there already.
+    /// The log is already compacted up to the index.
     AlreadyCompacted,
 }
 
 impl fmt::Display for CompactError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Self::NotDelivered => "the entry wasn't delivered yet",
-            Self::AlreadyCompacted => "the log was compacted there already",
+            Self::NotDelivered => "the entry hasn't been delivered yet",
+            Self::AlreadyCompacted => "the log is already compacted up to this entry",
         })
     }
 }
 
 impl std::error::Error for CompactError {}
 
-/// A snapshot that is arriving in parts.
+/// The received part of an incomplete snapshot.
 #[derive(Debug)]
 pub(super) struct IncomingSnapshot {
     mark: EntryMark,
@@ -44,9 +48,9 @@
 }
 
 impl AgreementNode {
-    /// Replaces the entries up to `up_to` by the state they led to.
+    /// Compacts the log: replaces the entries up to `up_to` by a snapshot of the state.
     ///
-    /// `data` must be the state with exactly the entries up to `up_to` applied.
+    /// `data` must be the state after exactly the entries up to `up_to` were applied.
     ///
     /// # Errors
     ///
@@ -79,11 +83,16 @@
         self.log.install(snapshot);
     }
 
-    /// Takes a part of the leader's snapshot.
-    pub(super) fn take_chunk(&mut self, from: &VoterId, term: ElectionTerm, chunk: SnapshotChunk) {
+    /// Handles a part of the leader's snapshot, and acknowledges it.
+    pub(super) fn handle_snapshot_chunk(
+        &mut self,
+        from: &VoterId,
+        term: ElectionTerm,
+        chunk: SnapshotChunk,
+    ) {
         let mark = chunk.mark;
         let round = chunk.round;
-        let received = if !self.heed_leader(from, term) {
+        let received = if !self.accept_leader(from, term) {
             0
         } else if mark.index <= self.commit {
             chunk.total
@@ -98,7 +107,9 @@
         self.send_to(from, MessageBody::SnapshotReply(answer));
     }
 
-    /// Adds a part, and installs the snapshot when it is whole. Returns the bytes received.
+    /// Adds a part, and installs the snapshot once it is complete.
+    ///
+    /// Returns the number of bytes received so far.
     fn add_chunk(&mut self, chunk: SnapshotChunk) -> usize {
         let known = self.incoming.take();
         let mut incoming = match known {
@@ -123,27 +134,27 @@
         };
         invariant!(
             snapshot.mark.index > self.commit,
-            "{} would go back to snapshot {}",
+            "{} would install snapshot {}, which isn't past its commit index",
             self.id,
             snapshot.mark
         );
         self.set_commit(snapshot.mark.index);
         self.delivered = snapshot.mark.index;
-        // What was to be applied before lies within the snapshot.
+        // The snapshot includes the committed entries that weren't applied yet.
         self.output.committed.clear();
         self.output.install = Some(snapshot.clone());
         self.write_snapshot(snapshot);
         received
     }
 
-    /// Takes a follower's answer to a part of a snapshot.
-    pub(super) fn take_snapshot_answer(
+    /// Handles a follower's acknowledgement of a part of a snapshot.
+    pub(super) fn handle_snapshot_answer(
         &mut self,
         from: &VoterId,
         term: ElectionTerm,
         answer: SnapshotAnswer,
     ) {
-        if !self.heed_follower(from, term, answer.round) {
+        if !self.accept_answer(from, term, answer.round) {
             return;
         }
         let total = self
@@ -161,18 +172,19 @@
             return;
         }
         if answer.received >= total {
-            progress.note_accepted(mark.index);
+            progress.record_accepted(mark.index);
         } else if answer.received != transfer.received {
             transfer.received = answer.received;
             transfer.sent_at = None;
         }
-        self.drive_membership();
+        self.advance_repair();
     }
 }
 
 impl BatchSender<'_> {
-    /// Goes over to a snapshot when the follower needs an entry that was compacted away.
-    pub(super) fn choose_snapshot(&self, progress: &mut PeerProgress) {
+    /// Starts a snapshot transfer if the follower needs a compacted entry, and restarts one whose
+    /// snapshot was replaced by a later one.
+    pub(super) fn switch_to_snapshot(&self, progress: &mut PeerProgress) {
         let base = self.log.base().index;
         let current = match progress.mode {
             SendMode::Snapshot(transfer) => transfer.index == base,
@@ -187,21 +199,22 @@
         }
     }
 
-    /// Adds the next part of the snapshot, unless its answer is awaited.
+    /// Adds the next part of the snapshot, unless it was sent and its acknowledgement may still
+    /// arrive.
     pub(super) fn push_chunk(
         &self,
         transfer: SnapshotTransfer,
         progress: &mut PeerProgress,
         bodies: &mut Vec<MessageBody>,
     ) {
-        let patience = u64::from(self.settings.election_ticks);
-        let awaited = transfer
+        let answer_timeout = u64::from(self.settings.election_ticks);
+        let answer_pending = transfer
             .sent_at
-            .is_some_and(|sent_at| sent_at + patience > self.tick);
+            .is_some_and(|sent_at| sent_at + answer_timeout > self.tick);
         let Some(snapshot) = self.log.snapshot() else {
             return;
         };
-        if awaited {
+        if answer_pending {
             return;
         }
         progress.mode = SendMode::Snapshot(SnapshotTransfer {
@@ -214,13 +227,15 @@
             configuration: snapshot.configuration.clone(),
             total: snapshot.data.len(),
             offset: transfer.received,
-            data: self.cut_chunk(&snapshot.data, transfer.received).to_owned(),
+            data: self.chunk_at(&snapshot.data, transfer.received).to_owned(),
             round: self.round,
         })));
     }
 
-    /// Returns the part of `data` at `offset` that fits into one message.
-    fn cut_chunk<'data>(&self, data: &'data str, offset: usize) -> &'data str {
+    /// Returns the part of `data` from the byte `offset` on that fits into one message.
+    ///
+    /// A part ends at a character boundary.
+    fn chunk_at<'data>(&self, data: &'data str, offset: usize) -> &'data str {
         let rest = data.get(offset..).unwrap_or_default();
         let mut end = rest.len().min(self.settings.max_batch_bytes.max(4));
         while !rest.is_char_boundary(end) {
--- a/crates/control/src/agreement/start.rs
+++ b/crates/control/src/agreement/start.rs
@@ -1,4 +1,4 @@
-//! Starting a node from its disk, and forming a log.
+//! The start of a node from its durable state, and the formation of a new log.
 
 use super::AgreementNode;
 use super::durable::DiskWrite;
@@ -18,10 +18,10 @@
 use rand::rngs::StdRng;
 use std::fmt;
 
-/// Why a node can't start.
+/// The reason why a node can't start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartError {
-    /// The disk belongs to another VM.
+    /// The disk has the identity of another VM.
     ForeignDisk(VoterId),
 }
 
@@ -35,14 +35,14 @@
 
 impl std::error::Error for StartError {}
 
-/// Why a log can't be formed.
+/// The reason why a log can't be formed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FormError {
-    /// The node holds a log already.
+    /// The node already has a log, a term or a vote.
     NotEmpty,
     /// The node isn't among the voters.
     NotAmongVoters,
-    /// Two voters have the same VM.
+    /// Two voters are on the same VM.
     SameVmTwice,
 }
 
@@ -59,10 +59,10 @@
 impl std::error::Error for FormError {}
 
 impl AgreementNode {
-    /// Starts a node from what its disk held.
+    /// Starts a node from the durable state on its disk.
     ///
-    /// An empty disk gets the identity in the settings; otherwise the disk's own identity holds,
-    /// whatever incarnation the settings name.
+    /// A node with an empty disk gets the identity in the settings. Otherwise the identity on the
+    /// disk applies, whatever incarnation the settings name.
     ///
     /// # Errors
     ///
@@ -84,11 +84,11 @@
             random: StdRng::seed_from_u64(settings.seed ^ name_hash),
             settings,
             id,
-            hard: state.hard,
+            hard_state: state.hard_state,
             log: state.log,
             role: RoleState::Follower,
             leader: None,
-            leader_heard_at: None,
+            leader_contact_tick: None,
             commit: base,
             delivered: base,
             tick: 0,
@@ -98,19 +98,20 @@
             outdated_by: None,
             output,
         };
-        node.await_first_turn();
+        node.schedule_first_pre_vote();
         Ok(node)
     }
 
-    /// Forms a log: writes the first entry, which names the voters.
+    /// Forms a new log by writing its first entry, which names the voters.
     ///
-    /// This is the operator's one explicit act, done with the same list on each named voter. No
-    /// node ever does it by itself: a VM that has lost its disk would form a second log beside the
-    /// first. Repeating it with the same voters changes nothing.
+    /// An operator requests this explicitly, with the same list on each of the voters. A node never
+    /// does so by itself: a VM that has lost its disk would form a second log next to the first.
+    /// Repeating the call with the same voters has no effect.
     ///
     /// # Errors
     ///
-    /// Returns [`FormError`] when the node holds another log already or the list doesn't fit.
+    /// Returns [`FormError`] when the node already has another log, or when the voters don't
+    /// include this node or name a VM twice.
     pub fn form(&mut self, voters: Vec<VoterId>) -> Result<(), FormError> {
         let configuration = VoterConfiguration::form(voters);
         if !configuration.is_voter(&self.id) {
@@ -123,7 +124,7 @@
         if self.formation() == Some(configuration.formation) {
             return Ok(());
         }
-        if !self.log.is_empty() || self.hard != HardState::default() {
+        if !self.log.is_empty() || self.hard_state != HardState::default() {
             return Err(FormError::NotEmpty);
         }
         let mark = EntryMark::new(ElectionTerm(1), LogIndex(1));
--- a/crates/control/tests/agreement_network/mod.rs
+++ b/crates/control/tests/agreement_network/mod.rs
@@ -345,7 +345,7 @@
     /// Returns the number of the leader that a majority follows, if there is one.
     pub fn find_leader(&self) -> Option<usize> {
         let latest = self.find_latest_leader()?;
-        let firm = self.vms[latest].node().majority_heard_within(5);
+        let firm = self.vms[latest].node().majority_answered_within(5);
         firm.then_some(latest)
     }
 
