--- a/crates/control/tests/agreement_guards.rs
+++ b/crates/control/tests/agreement_guards.rs
@@ -1,5 +1,6 @@
-//! What each guard of the agreed log prevents: the same course of events with all guards, where
-//! the harm must not come about, and without that one guard, where it must.
+//! The failure that each guard of the agreed log prevents. Each test runs the same sequence of
+//! events twice: with all guards, where the failure must not occur, and without the one guard,
+//! where it must.
 
 mod agreement_network;
 
@@ -10,54 +11,55 @@
 use ragwort_types::VmIncarnation;
 use std::panic;
 
-/// The harm that came about, in words.
-type Harm = Option<String>;
+/// A description of the failure that occurred; `None` if none did.
+type ObservedFailure = Option<String>;
 
-fn harm_when(seen: bool, harm: &str) -> Harm {
-    seen.then(|| harm.to_owned())
+fn failure_if(occurred: bool, failure: &str) -> ObservedFailure {
+    occurred.then(|| failure.to_owned())
 }
 
-/// Runs a course of events; a check that fails in it is the harm.
-fn find_harm(course: fn(&GuardSet) -> Harm, guards: GuardSet) -> Harm {
-    panic::catch_unwind(|| course(&guards)).unwrap_or_else(|payload| {
+/// Runs a sequence of events; a failed check in it counts as a failure.
+fn find_failure(sequence: fn(&GuardSet) -> ObservedFailure, guards: GuardSet) -> ObservedFailure {
+    panic::catch_unwind(|| sequence(&guards)).unwrap_or_else(|payload| {
         let text = payload.downcast_ref::<String>().cloned();
         Some(text.unwrap_or_default())
     })
 }
 
 macro_rules! guard_tests {
-    ($($(#[$doc:meta])* $name:ident: $guard:ident, $harm:literal, $course:expr;)*) => {$(
+    ($($(#[$doc:meta])* $name:ident: $guard:ident, $failure:literal, $sequence:expr;)*) => {$(
         $(#[$doc])*
         #[test]
         fn $name() {
-            let course: fn(&GuardSet) -> Harm = $course;
-            assert_eq!(course(&GuardSet::all()), None);
+            let sequence: fn(&GuardSet) -> ObservedFailure = $sequence;
+            assert_eq!(sequence(&GuardSet::all()), None);
             let without = GuardSet::without(AgreementGuard::$guard);
-            let harm = find_harm(course, without).unwrap_or_default();
-            assert!(harm.contains($harm), "another harm than expected: {harm:?}");
+            let failure = find_failure(sequence, without).unwrap_or_default();
+            assert!(failure.contains($failure), "unexpected failure: {failure:?}");
         }
     )*};
 }
 
 guard_tests! {
-    /// A VM sits behind a cut for many election times and then comes back. Its vain elections
-    /// have raised its term, so that the leader has to be elected anew the moment the network
-    /// heals; operators see changes and reads refused.
+    /// A VM is partitioned for many election timeouts and then returns. Its failed elections have
+    /// raised its term, so that a new election is needed when the network heals; operators' changes
+    /// and reads are refused meanwhile.
     pre_vote: PreVote, "the healthy leader's term ended", |guards| {
         let mut network = TestNetwork::formed(3, 1, guards);
         let leader = network.wait_for_leader();
         let term = network.vms[leader].node().term();
-        let silent = (leader + 1) % 3;
-        network.isolate(silent);
+        let isolated = (leader + 1) % 3;
+        network.isolate(isolated);
         network.run(300);
-        network.reconnect(silent);
+        network.reconnect(isolated);
         network.run(100);
         let node = network.vms[leader].node();
-        harm_when(node.term() != term, "the healthy leader's term ended")
+        failure_if(node.term() != term, "the healthy leader's term ended")
     };
 
-    /// A VM can be heard but doesn't hear the leader. Its log is as good as any, so the others
-    /// would elect it over and over; each time the present leader's reads are lost.
+    /// A VM can send to all others but doesn't receive the leader's messages. Its log is up to
+    /// date, so the others would elect it repeatedly; each time the current leader's reads are
+    /// lost.
     vote_stickiness: VoteStickiness, "the healthy leader was replaced", |guards| {
         let mut network = TestNetwork::formed(3, 2, guards);
         let leader = network.wait_for_leader();
@@ -65,23 +67,23 @@
         network.cut_link(leader, deaf);
         network.run(200);
         let leads = network.vms[leader].node().is_leader();
-        harm_when(!leads, "the healthy leader was replaced")
+        failure_if(!leads, "the healthy leader was replaced")
     };
 
-    /// A leader is cut off. It goes on taking proposals that can't be committed, and its callers
-    /// wait until their deadlines instead of being refused at once.
+    /// A leader is partitioned. It goes on taking proposals that can't be committed, and its
+    /// callers wait until their deadlines instead of being refused at once.
     quorum_check: QuorumCheck, "a leader without followers takes proposals", |guards| {
         let mut network = TestNetwork::formed(3, 3, guards);
         let leader = network.wait_for_leader();
         network.isolate(leader);
         network.run(40);
         let proposed = network.vms[leader].node_mut().propose("late".to_owned());
-        harm_when(proposed.is_ok(), "a leader without followers takes proposals")
+        failure_if(proposed.is_ok(), "a leader without followers takes proposals")
     };
 
-    /// An entry of an old term comes to lie on a majority, while another VM holds a later entry
-    /// and can still be elected. Counted as committed, the entry is replaced: an accepted change
-    /// is gone.
+    /// An entry of an old term is stored by a majority while another VM has an entry of a later
+    /// term and can still be elected. If the old entry counts as committed, it is later replaced,
+    /// and an accepted change is lost.
     own_term_commit: OwnTermCommit, "commits another entry", |guards| {
         let mut network = TestNetwork::formed(5, 4, guards);
         let limits = BatchLimits { in_flight: 1, ..BatchLimits::default() };
@@ -96,8 +98,9 @@
         network.elect(4, &[2, 3]);
         network.crash(4);
         network.elect(0, &[1, 2]);
-        // The old entry reaches the third VM, and the link is cut before the leader's own does.
-        network.run_until(30, "the old entry lies on a majority", |network| {
+        // The link is cut after the old entry reaches the third VM, and before the leader's entry
+        // of the new term does.
+        network.run_until(30, "a majority has stored the old entry", |network| {
             network.vms[2].node().last_entry() == old
         });
         network.cut_link(0, 2);
@@ -110,8 +113,9 @@
         None
     };
 
-    /// A leader's process freezes, another is elected and commits changes; then the first thaws
-    /// and is asked for a contract before it has noticed. It answers with the old one.
+    /// A leader's process freezes, and another leader is elected and commits changes. Then the
+    /// first one resumes and receives a read before it learns of its successor. It answers from
+    /// stale state.
     read_confirmation: ReadConfirmation, "stale read", |guards| {
         let mut network = TestNetwork::formed(3, 5, guards);
         let frozen = network.wait_for_leader();
@@ -127,7 +131,8 @@
     };
 
     /// A leader commits a change and is lost before its followers learn that it is committed. The
-    /// next leader holds the change but doesn't know so, and answers without it.
+    /// next leader has stored the change but doesn't know that it is committed, and answers a read
+    /// without it.
     read_after_own_entry: ReadAfterOwnEntry, "stale read", |guards| {
         let mut network = TestNetwork::formed(3, 6, guards);
         network.elect(0, &[1, 2]);
@@ -143,9 +148,9 @@
         None
     };
 
-    /// A change waits behind a VM that was admitted but has hardly begun to fetch the log. With
-    /// one VM of the others lost, two of three would do; with the empty one counted, three of four
-    /// are needed, and nothing can be committed until it has everything.
+    /// A VM was admitted but hasn't received the log yet, and one of the three others is lost. If
+    /// the empty VM already counts as a voter, a majority is three of four, and nothing can be
+    /// committed until it has the whole log; otherwise the remaining two of three suffice.
     catch_up_first: CatchUpFirst, "nothing can be committed", |guards| {
         let mut network = TestNetwork::formed(4, 7, guards);
         network.crash(3);
@@ -161,17 +166,17 @@
         network.crash((leader + 1) % 3);
         let mark = network.propose_at(leader);
         network.run(100);
-        harm_when(!network.checker.is_committed(mark), "nothing can be committed")
+        failure_if(!network.checker.is_committed(mark), "nothing can be committed")
     };
 
-    /// A VM starts while its disk isn't mounted, and is replaced by its new incarnation in one
-    /// step. Then the old disk is back. The old incarnation and a third VM that missed the change
-    /// are a majority of the old voters, the leader and the new incarnation one of the new voters:
-    /// both go on, and one's accepted changes are lost.
+    /// A VM starts while its disk isn't mounted, and its new incarnation replaces the old one in a
+    /// single change. Then the old disk is mounted again. The old incarnation and a third VM that
+    /// missed the change are a majority of the old voters; the leader and the new incarnation are a
+    /// majority of the new voters. Both accept changes, and those of one majority are lost.
     single_voter_change: SingleVoterChange, "commits another entry", |guards| {
         let mut network = TestNetwork::formed(3, 8, guards);
         network.elect(0, &[1, 2]);
-        network.mend_cuts();
+        network.heal_cuts();
         network.commit_at(0, 2);
         network.unmount_disk(1);
         network.cut_link(0, 1);
@@ -180,7 +185,7 @@
         });
         network.run(3);
         network.isolate(2);
-        network.mend_cuts();
+        network.heal_cuts();
         network.cut_link(0, 2);
         network.cut_link(2, 0);
         network.cut_link(2, 1);
@@ -188,7 +193,7 @@
         network.run(9);
         network.propose_everywhere();
         network.run(9);
-        network.mend_cuts();
+        network.heal_cuts();
         network.isolate(0);
         network.remount_disk(1);
         network.run(60);
@@ -198,9 +203,9 @@
         None
     };
 
-    /// A leader that is cut off is asked to remove both other VMs, which look lost from there.
-    /// With both changes under way at once it is a majority by itself and accepts changes, while
-    /// the others elect a leader and accept theirs.
+    /// An operator asks a partitioned leader to remove both other VMs, which appear to be lost. If
+    /// both changes may be pending at once, the leader is a majority by itself and accepts changes,
+    /// while the others elect a leader and accept theirs.
     one_change_at_a_time: OneChangeAtATime, "commits another entry", |guards| {
         let mut network = TestNetwork::formed(3, 9, guards);
         let leader = network.wait_for_leader();
@@ -218,12 +223,12 @@
     };
 }
 
-/// A VM loses its disk, and its empty process goes on under the old identity: it has forgotten
-/// that it acknowledged a change, and helps to elect a VM that never had it. The change, which an
-/// operator was told is accepted, is gone.
+/// A VM loses its disk, and its empty process keeps the old identity. It no longer has a change
+/// that it acknowledged, and helps to elect a VM that never had it. The change, which was reported
+/// to an operator as accepted, is lost.
 #[test]
 fn lost_disk_under_the_old_identity() {
-    let course = |guards: &GuardSet, incarnation: u64| {
+    let sequence = |guards: &GuardSet, incarnation: u64| {
         let mut network = TestNetwork::formed(3, 10, guards);
         network.elect(0, &[1, 2]);
         network.deliver(6);
@@ -232,24 +237,24 @@
         network.vms[1].next_incarnation = VmIncarnation(incarnation);
         network.lose_disk(1);
         network.crash(0);
-        network.mend_cuts();
+        network.heal_cuts();
         network.run(60);
         network.propose_everywhere();
         network.run(20);
-        harm_when(
+        failure_if(
             network.find_leader().is_some(),
             "a VM without the change leads",
         )
     };
     let voting = GuardSet::without(AgreementGuard::ConfiguredVote);
-    let old_identity = panic::catch_unwind(|| course(&voting, 1));
+    let old_identity = panic::catch_unwind(|| sequence(&voting, 1));
     let payload = old_identity.expect_err("the accepted change is replaced");
-    let harm = payload.downcast_ref::<String>().expect("a check failed");
+    let failure = payload.downcast_ref::<String>().expect("a check failed");
     assert!(
-        harm.contains("commits another entry"),
-        "another harm: {harm}"
+        failure.contains("commits another entry"),
+        "unexpected failure: {failure}"
     );
-    assert_eq!(course(&voting, 2), None);
-    assert_eq!(course(&GuardSet::all(), 1), None);
-    assert_eq!(course(&GuardSet::all(), 2), None);
+    assert_eq!(sequence(&voting, 2), None);
+    assert_eq!(sequence(&GuardSet::all(), 1), None);
+    assert_eq!(sequence(&GuardSet::all(), 2), None);
 }
--- a/crates/control/tests/agreement_network/checker.rs
+++ b/crates/control/tests/agreement_network/checker.rs
@@ -1,4 +1,4 @@
-//! The checks that hold over all nodes together.
+//! Invariants across all nodes.
 
 use super::vm::TestVm;
 use ragwort_control::agreement::AgreementNode;
@@ -15,7 +15,7 @@
 use ragwort_types::VmName;
 use std::collections::BTreeMap;
 
-/// The state that a VM has built from committed entries: a checksum over all of them.
+/// The state that a VM has computed from committed entries: a checksum over all of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AppliedState {
     pub applied: LogIndex,
@@ -41,7 +41,7 @@
         self.checksum = u32::try_from(checksum).expect("a checksum has 32 bits");
         assert_eq!(
             self.applied, snapshot.mark.index,
-            "the snapshot is of its mark"
+            "the snapshot's state matches its mark"
         );
     }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// What was seen on any node.
+/// The entries, states and leaders observed on any node.
 #[derive(Default)]
 pub struct LogChecker {
     committed: BTreeMap<LogIndex, AppliedState>,
@@ -67,8 +67,8 @@
 }
 
 impl LogChecker {
-    /// Notes entries on a disk: the same mark means the same entry.
-    pub fn note_writes(&mut self, writes: &[DiskWrite]) {
+    /// Records entries written to a disk, and checks that entries with the same mark are equal.
+    pub fn record_writes(&mut self, writes: &[DiskWrite]) {
         for write in writes {
             if let DiskWrite::Entry(entry) = write {
                 let known = self.written.entry(entry.mark);
@@ -78,8 +78,14 @@
         }
     }
 
-    /// Notes a committed entry: what is committed once is committed everywhere.
-    pub fn note_committed(&mut self, name: &VmName, entry: &CommittedEntry, state: &AppliedState) {
+    /// Records a committed entry, and checks that all nodes commit the same entry at its index and
+    /// reach the same state.
+    pub fn record_committed(
+        &mut self,
+        name: &VmName,
+        entry: &CommittedEntry,
+        state: &AppliedState,
+    ) {
         let mark = *self.marks.entry(entry.mark.index).or_insert(entry.mark);
         assert_eq!(
             mark, entry.mark,
@@ -91,18 +97,19 @@
         assert_eq!(known, state, "{name} has another state at {}", mark.index);
     }
 
-    /// Notes an installed snapshot.
-    pub fn note_install(&mut self, name: &VmName, state: &AppliedState) {
+    /// Checks that an installed snapshot equals the state that a node computed from the entries up
+    /// to its index.
+    pub fn record_install(&mut self, name: &VmName, state: &AppliedState) {
         let known = self.committed.get(&state.applied);
         assert_eq!(
             known,
             Some(state),
-            "{name} installs a state that nobody had"
+            "{name} installs a state that no node has had"
         );
     }
 
-    /// Notes who leads.
-    pub fn note_leader(&mut self, node: Option<&AgreementNode>) {
+    /// Records a leader, and checks that its term has no other one.
+    pub fn record_leader(&mut self, node: Option<&AgreementNode>) {
         let Some(node) = node.filter(|node| node.is_leader()) else {
             return;
         };
@@ -123,18 +130,18 @@
         self.leaders.len()
     }
 
-    /// Expects all VMs to hold all that was ever committed.
-    pub fn expect_reached(&self, vms: &[TestVm]) {
+    /// Checks that each VM's state equals the committed state at its applied index.
+    pub fn expect_consistent(&self, vms: &[TestVm]) {
         let last = self.last_committed();
         for vm in vms {
-            assert!(vm.state.applied <= last, "{} is ahead of all", vm.name);
+            assert!(vm.state.applied <= last, "{} is ahead of the log", vm.name);
             let known = self.committed.get(&vm.state.applied);
             assert_eq!(known, Some(&vm.state), "{} has another state", vm.name);
         }
     }
 }
 
-/// Returns the configuration that an entry brings.
+/// Returns the configuration that an entry contains.
 pub fn configuration_of(entry: &LogEntry) -> Option<&VoterConfiguration> {
     match &entry.payload {
         EntryPayload::Configuration(configuration) => Some(configuration),
--- a/crates/control/tests/agreement_network/mod.rs
+++ b/crates/control/tests/agreement_network/mod.rs
@@ -1,4 +1,4 @@
-//! A small network of agreement nodes in one thread, with faults, and the checks on all of them.
+//! A simulated network of agreement nodes in one thread, with fault injection and invariant checks.
 
 #![expect(dead_code, reason = "each test file uses a part of the network")]
 
@@ -19,21 +19,22 @@
 use vm::CrashPoint;
 use vm::TestVm;
 
-/// The ticks between those whose messages are encoded and decoded; encoding all takes too long.
-const TEXT_INTERVAL: u64 = 8;
+/// The interval, in ticks, between ticks whose messages are encoded and decoded; encoding all
+/// messages takes too long.
+const ENCODED_TICK_INTERVAL: u64 = 8;
 
-/// What the network does to messages.
+/// The faults that the network applies to messages.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct NetworkNoise {
-    /// Messages lost, of a hundred.
-    pub lost: u32,
-    /// Messages sent twice, of a hundred.
-    pub doubled: u32,
-    /// The most ticks that a message takes beyond the first.
-    pub delay: u64,
+pub struct MessageFaults {
+    /// The percentage of messages that are lost.
+    pub lost_percent: u32,
+    /// The percentage of messages that are delivered twice.
+    pub duplicated_percent: u32,
+    /// The maximum delay in ticks, in addition to the one tick that each message takes.
+    pub max_delay_ticks: u64,
 }
 
-/// A message on its way.
+/// A message that hasn't arrived yet.
 struct MessageInFlight {
     due_at: u64,
     from: usize,
@@ -41,13 +42,13 @@
     message: AgreementMessage,
 }
 
-/// VMs with disks, and the network between them.
+/// Simulated VMs with disks, and the network between them.
 pub struct TestNetwork {
     pub vms: Vec<TestVm>,
     pub checker: LogChecker,
-    pub noise: NetworkNoise,
+    pub message_faults: MessageFaults,
     pub clock: u64,
-    cuts: BTreeSet<(usize, usize)>,
+    cut_links: BTreeSet<(usize, usize)>,
     in_flight: Vec<MessageInFlight>,
     random: StdRng,
     proposals: u64,
@@ -64,16 +65,16 @@
         Self {
             vms,
             checker: LogChecker::default(),
-            noise: NetworkNoise::default(),
+            message_faults: MessageFaults::default(),
             clock: 0,
-            cuts: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             in_flight: Vec::new(),
             random: StdRng::seed_from_u64(seed),
             proposals: 0,
         }
     }
 
-    /// Creates VMs that share a log.
+    /// Creates VMs that have formed a log.
     pub fn formed(count: usize, seed: u64, guards: &GuardSet) -> Self {
         let mut network = Self::unformed(count, seed, guards);
         let voters: Vec<VoterId> = network
@@ -84,12 +85,12 @@
         for number in 0..count {
             let node = network.vms[number].node_mut();
             node.form(voters.clone()).expect("an empty node forms");
-            network.settle(number);
+            network.process_output(number);
         }
         network
     }
 
-    /// Sets the bounds of all VMs' messages, from their next start on.
+    /// Sets the message limits of all VMs, and restarts them so that the limits apply.
     pub fn limit_batches(&mut self, limits: BatchLimits) {
         for number in 0..self.vms.len() {
             self.vms[number].limits = limits;
@@ -98,21 +99,21 @@
         }
     }
 
-    /// Creates VMs that share a log and have a leader; returns the leader's number too.
-    pub fn led(count: usize, seed: u64) -> (Self, usize) {
+    /// Creates VMs that have formed a log and elected a leader; also returns the leader's number.
+    pub fn with_leader(count: usize, seed: u64) -> (Self, usize) {
         let mut network = Self::formed(count, seed, &GuardSet::all());
         let leader = network.wait_for_leader();
         (network, leader)
     }
 
-    /// Runs some ticks.
+    /// Runs `ticks` ticks.
     pub fn run(&mut self, ticks: u64) {
         for _ in 0..ticks {
             self.step();
         }
     }
 
-    /// Runs until `done` says so; panics after `limit` ticks.
+    /// Runs until `done` is true; panics after `limit` ticks.
     pub fn run_until(&mut self, limit: u64, wanted: &str, done: impl Fn(&Self) -> bool) {
         for _ in 0..limit {
             if done(self) {
@@ -123,13 +124,13 @@
         panic!("not within {limit} ticks: {wanted}");
     }
 
-    /// Makes a VM the leader with the votes of `voters`, while all others are cut off.
+    /// Makes a VM the leader with the votes of `voters`, while all others are isolated.
     ///
-    /// The voters are restarted, which makes them forget the former leader, and only the
-    /// candidate's clock goes on. Links stay cut afterwards.
+    /// The candidate and the voters are restarted, so that they know of no previous leader, and
+    /// only the candidate's clock advances. The links stay cut afterwards.
     pub fn elect(&mut self, number: usize, voters: &[usize]) {
         self.drop_messages();
-        self.mend_cuts();
+        self.heal_cuts();
         for other in 0..self.vms.len() {
             if other == number || voters.contains(&other) {
                 self.crash(other);
@@ -144,13 +145,13 @@
             }
             self.clock += 1;
             self.vms[number].node_mut().tick();
-            self.settle(number);
+            self.process_output(number);
             self.deliver_due();
         }
         panic!("VM {number} isn't elected:\n{}", self.describe());
     }
 
-    /// Delivers messages for some rounds without a tick on any VM.
+    /// Advances the network for `rounds` ticks without a tick on any VM.
     pub fn deliver(&mut self, rounds: u64) {
         for _ in 0..rounds {
             self.clock += 1;
@@ -158,13 +159,13 @@
         }
     }
 
-    /// Runs one tick: clocks go on, then the messages that are due arrive in any order.
+    /// Runs one tick: advances all clocks, then delivers the messages that are due in random order.
     fn step(&mut self) {
         self.clock += 1;
         for number in 0..self.vms.len() {
             if self.vms[number].is_running() {
                 self.vms[number].node_mut().tick();
-                self.settle(number);
+                self.process_output(number);
             }
         }
         self.deliver_due();
@@ -176,14 +177,14 @@
             .drain(..)
             .partition(|message| message.due_at <= self.clock);
         self.in_flight = later;
-        self.arrive(due);
+        self.deliver_in_random_order(due);
     }
 
-    fn arrive(&mut self, mut due: Vec<MessageInFlight>) {
+    fn deliver_in_random_order(&mut self, mut due: Vec<MessageInFlight>) {
         while !due.is_empty() {
             let place = self.random.random_range(0..due.len());
             let message = due.swap_remove(place);
-            if self.cuts.contains(&(message.from, message.to)) {
+            if self.cut_links.contains(&(message.from, message.to)) {
                 continue;
             }
             if self.vms[message.to].is_frozen() {
@@ -191,14 +192,14 @@
             } else if self.vms[message.to].is_running() {
                 let to = message.to;
                 self.vms[to].node_mut().receive(message.message);
-                self.settle(to);
+                self.process_output(to);
             }
         }
     }
 
-    /// Carries out what a node asks for.
-    pub fn settle(&mut self, number: usize) {
-        let sent = self.vms[number].settle(&mut self.checker);
+    /// Carries out a node's output and puts its messages on the network.
+    pub fn process_output(&mut self, number: usize) {
+        let sent = self.vms[number].process_output(&mut self.checker);
         for outbound in sent {
             let receiver = self.vms.iter().position(|vm| vm.name == outbound.to);
             if let Some(to) = receiver {
@@ -208,20 +209,23 @@
     }
 
     fn put_in_flight(&mut self, from: usize, to: usize, message: AgreementMessage) {
-        if self.clock.is_multiple_of(TEXT_INTERVAL) {
+        if self.clock.is_multiple_of(ENCODED_TICK_INTERVAL) {
             let decoded = AgreementMessage::from_text(&message.to_text());
             assert_eq!(decoded.as_ref(), Ok(&message), "a message survives as text");
         }
-        let copies = if self.chance(self.noise.doubled) {
+        let copies = if self.chance(self.message_faults.duplicated_percent) {
             2
         } else {
             1
         };
         for _ in 0..copies {
-            if self.chance(self.noise.lost) {
+            if self.chance(self.message_faults.lost_percent) {
                 continue;
             }
-            let due_at = self.clock + self.random.random_range(0..=self.noise.delay);
+            let due_at = self.clock
+                + self
+                    .random
+                    .random_range(0..=self.message_faults.max_delay_ticks);
             self.in_flight.push(MessageInFlight {
                 due_at: due_at + 1,
                 from,
@@ -235,7 +239,7 @@
         percent > 0 && self.random.random_range(0..100) < percent
     }
 
-    /// Proposes a fresh command at every node that takes itself for the leader.
+    /// Proposes a new command at every node that considers itself the leader.
     pub fn propose_everywhere(&mut self) -> Vec<EntryMark> {
         let mut marks = Vec::new();
         for number in 0..self.vms.len() {
@@ -246,17 +250,17 @@
         marks
     }
 
-    /// Proposes a fresh command at a leader.
+    /// Proposes a new command at a leader.
     pub fn propose_at(&mut self, number: usize) -> EntryMark {
         self.proposals += 1;
         let data = format!("command {}", self.proposals);
         let mark = self.vms[number].node_mut().propose(data);
         let mark = mark.expect("the node is the leader");
-        self.settle(number);
+        self.process_output(number);
         mark
     }
 
-    /// Proposes `count` commands at a leader and waits until it knows them to be committed.
+    /// Proposes `count` commands at a leader, and runs until each of them is committed.
     pub fn commit_at(&mut self, number: usize, count: usize) {
         for _ in 0..count {
             let mark = self.propose_at(number);
@@ -266,12 +270,12 @@
         }
     }
 
-    /// Asks for a read at every node that takes itself for the leader.
+    /// Begins a read at every node that considers itself the leader.
     pub fn read_everywhere(&mut self) {
         for number in 0..self.vms.len() {
             if self.vms[number].is_running() && self.vms[number].node().is_leader() {
                 self.vms[number].begin_read(&self.checker);
-                self.settle(number);
+                self.process_output(number);
             }
         }
     }
@@ -288,10 +292,10 @@
 
     /// Cuts one direction between two VMs.
     pub fn cut_link(&mut self, from: usize, to: usize) {
-        self.cuts.insert((from, to));
+        self.cut_links.insert((from, to));
     }
 
-    /// Cuts the VMs whose bit is set in `sides` from the others.
+    /// Partitions the VMs whose bit is set in `sides` from the others.
     pub fn split(&mut self, sides: u8) {
         let side = |number: usize| sides >> number & 1;
         for from in 0..self.vms.len() {
@@ -303,23 +307,23 @@
         }
     }
 
-    /// Mends all cuts of a VM.
+    /// Restores all links of a VM.
     pub fn reconnect(&mut self, number: usize) {
-        self.cuts
+        self.cut_links
             .retain(|(from, to)| *from != number && *to != number);
     }
 
-    /// Mends all cuts.
-    pub fn mend_cuts(&mut self) {
-        self.cuts.clear();
+    /// Restores all links.
+    pub fn heal_cuts(&mut self) {
+        self.cut_links.clear();
     }
 
-    /// Forgets all messages on their way.
+    /// Drops all messages that haven't arrived yet.
     pub fn drop_messages(&mut self) {
         self.in_flight.clear();
     }
 
-    /// Stops a VM's process at once.
+    /// Kills a VM's process.
     pub fn crash(&mut self, number: usize) {
         self.vms[number].stop();
     }
@@ -327,7 +331,7 @@
     /// Starts a stopped VM's process from its disk.
     pub fn restart(&mut self, number: usize) {
         self.vms[number].start();
-        self.settle(number);
+        self.process_output(number);
     }
 
     /// Stops a VM's process, empties its disk and starts it again.
@@ -337,7 +341,7 @@
         self.restart(number);
     }
 
-    /// Arms a crash at the VM's next sync.
+    /// Makes a VM crash at its next sync.
     pub fn crash_at_sync(&mut self, number: usize, point: CrashPoint) {
         self.vms[number].crash_at = Some(point);
     }
@@ -345,8 +349,8 @@
     /// Returns the number of the leader that a majority follows, if there is one.
     pub fn find_leader(&self) -> Option<usize> {
         let latest = self.find_latest_leader()?;
-        let firm = self.vms[latest].node().majority_answered_within(5);
-        firm.then_some(latest)
+        let followed = self.vms[latest].node().majority_answered_within(5);
+        followed.then_some(latest)
     }
 
     /// Returns the number of the leader with the highest term, if there is one.
@@ -370,13 +374,14 @@
         self.find_leader().expect("the wait ended with a leader")
     }
 
-    /// Returns the VM's number, from its node's identity.
+    /// Returns the number of the VM with this identity's name.
     pub fn number_of(&self, id: &VoterId) -> Option<usize> {
         self.vms.iter().position(|vm| vm.name == id.vm)
     }
 
-    /// Says whether the leader reports no repair and every voter's disk is the one that voted.
-    pub fn is_whole(&self) -> bool {
+    /// Returns whether the leader reports no pending repair, all VMs are voters, and each voter's
+    /// identity is the one on its VM's disk.
+    pub fn is_fully_repaired(&self) -> bool {
         let Some(leader) = self.find_leader() else {
             return false;
         };
@@ -390,7 +395,7 @@
             && node.voters().iter().all(intact)
     }
 
-    /// Says whether any log names this identity as a voter.
+    /// Returns whether any VM's log contains a configuration with this identity as a voter.
     pub fn is_voter_anywhere(&self, id: &VoterId) -> bool {
         let names = |vm: &TestVm| {
             let state = vm.read_disk();
@@ -401,10 +406,11 @@
         self.vms.iter().any(names)
     }
 
-    /// Ends all faults and expects the log to come back whole, with nothing lost.
+    /// Stops all faults, and expects all VMs to become voters again and to have every committed
+    /// entry.
     pub fn expect_recovery(&mut self) {
-        self.noise = NetworkNoise::default();
-        self.mend_cuts();
+        self.message_faults = MessageFaults::default();
+        self.heal_cuts();
         for number in 0..self.vms.len() {
             self.vms[number].crash_at = None;
             self.vms[number].thaw();
@@ -412,7 +418,7 @@
                 self.restart(number);
             }
         }
-        // An operator empties a disk that its node calls out of date.
+        // Acts as the operator who empties the disk of a node that reports to be outdated.
         for _ in 0..200 {
             self.run(10);
             for number in 0..self.vms.len() {
@@ -420,13 +426,13 @@
                     self.lose_disk(number);
                 }
             }
-            if self.is_whole() {
+            if self.is_fully_repaired() {
                 break;
             }
         }
         assert!(
-            self.is_whole(),
-            "the log isn't whole again: {}",
+            self.is_fully_repaired(),
+            "the log isn't fully repaired: {}",
             self.describe()
         );
         let leader = self.wait_for_leader();
@@ -435,10 +441,10 @@
             let applied = |vm: &TestVm| vm.state.applied >= mark.index;
             network.vms.iter().all(applied)
         });
-        self.checker.expect_reached(&self.vms);
+        self.checker.expect_consistent(&self.vms);
     }
 
-    /// Describes all nodes in a few lines.
+    /// Returns a line of state for each node.
     pub fn describe(&self) -> String {
         let lines = self.vms.iter().map(TestVm::describe);
         lines.collect::<Vec<_>>().join("\n")
--- a/crates/control/tests/agreement_network/scenario.rs
+++ b/crates/control/tests/agreement_network/scenario.rs
@@ -1,6 +1,6 @@
-//! Random runs of the network: faults in any order, then recovery.
+//! Random runs of the simulated network: random actions and faults, then recovery.
 
-use super::NetworkNoise;
+use super::MessageFaults;
 use super::TestNetwork;
 use super::vm::BatchLimits;
 use super::vm::CrashPoint;
@@ -9,16 +9,16 @@
 use quickcheck::Gen;
 use ragwort_control::agreement::GuardSet;
 
-/// Which VM a step is about.
+/// The VM to which an action applies.
 #[derive(Clone, Copy, Debug)]
 pub enum VmChoice {
-    /// The one with this number, modulo their count.
+    /// The VM with this number, modulo the number of VMs.
     Number(u8),
-    /// The latest leader; leaders are where most can go wrong.
+    /// The leader with the highest term; faults of leaders have the most consequences.
     Leader,
 }
 
-/// One step of a random run.
+/// One action of a random run.
 #[derive(Clone, Debug)]
 pub enum NetworkAction {
     Run(u8),
@@ -34,8 +34,8 @@
     Isolate(VmChoice),
     CutLink(VmChoice, VmChoice),
     Split(u8),
-    Mend,
-    StaySilent(VmChoice),
+    HealCuts,
+    IsolateForLong(VmChoice),
     LoseDisk(VmChoice),
     LoseDiskAfterRepair(VmChoice),
     UnmountDisk(VmChoice),
@@ -43,7 +43,7 @@
     RemoveVm(VmChoice),
     AdmitVm(VmChoice),
     Compact(VmChoice),
-    SetNoise(NetworkNoise),
+    SetMessageFaults(MessageFaults),
 }
 
 impl Arbitrary for VmChoice {
@@ -69,12 +69,12 @@
     }
 }
 
-impl Arbitrary for NetworkNoise {
+impl Arbitrary for MessageFaults {
     fn arbitrary(gen_: &mut Gen) -> Self {
         Self {
-            lost: u32::arbitrary(gen_) % 40,
-            doubled: u32::arbitrary(gen_) % 30,
-            delay: u64::arbitrary(gen_) % 6,
+            lost_percent: u32::arbitrary(gen_) % 40,
+            duplicated_percent: u32::arbitrary(gen_) % 30,
+            max_delay_ticks: u64::arbitrary(gen_) % 6,
         }
     }
 }
@@ -97,8 +97,8 @@
             46..=47 => Self::Isolate(vm),
             48 => Self::CutLink(vm, VmChoice::arbitrary(gen_)),
             49 => Self::Split(u8::arbitrary(gen_)),
-            50..=53 => Self::Mend,
-            54 => Self::StaySilent(vm),
+            50..=53 => Self::HealCuts,
+            54 => Self::IsolateForLong(vm),
             55 => Self::LoseDisk(vm),
             56 => Self::LoseDiskAfterRepair(vm),
             57 => Self::UnmountDisk(vm),
@@ -106,17 +106,17 @@
             59..=60 => Self::Compact(vm),
             61 => Self::RemoveVm(vm),
             62 => Self::AdmitVm(vm),
-            _ => Self::SetNoise(NetworkNoise::arbitrary(gen_)),
+            _ => Self::SetMessageFaults(MessageFaults::arbitrary(gen_)),
         }
     }
 }
 
-/// Ticks of a VM behind a cut: many election times.
-const SILENT_TICKS: u64 = 300;
+/// The number of ticks for which a VM is isolated: many election timeouts.
+const LONG_ISOLATION_TICKS: u64 = 300;
 
 impl TestNetwork {
-    /// Carries out one step of a random run.
-    pub fn act(&mut self, action: &NetworkAction, limit: LossLimit) {
+    /// Carries out one action of a random run.
+    pub fn apply_action(&mut self, action: &NetworkAction, limit: LossLimit) {
         match *action {
             NetworkAction::Run(ticks) => self.run(u64::from(ticks)),
             NetworkAction::Propose(count) => {
@@ -125,132 +125,132 @@
                 }
             }
             NetworkAction::Read => self.read_everywhere(),
-            NetworkAction::Crash(vm) => self.crash(self.choose(vm)),
+            NetworkAction::Crash(vm) => self.crash(self.resolve(vm)),
             NetworkAction::Reboot(vm) => {
-                let number = self.choose(vm);
+                let number = self.resolve(vm);
                 self.crash(number);
                 self.restart(number);
             }
-            NetworkAction::CrashAtSync(vm, point) => self.crash_at_sync(self.choose(vm), point),
-            NetworkAction::Restart(vm) => self.restart(self.choose(vm)),
+            NetworkAction::CrashAtSync(vm, point) => self.crash_at_sync(self.resolve(vm), point),
+            NetworkAction::Restart(vm) => self.restart(self.resolve(vm)),
             NetworkAction::RestartAll => {
                 for number in 0..self.vms.len() {
                     self.vms[number].thaw();
                     self.restart(number);
                 }
             }
-            NetworkAction::Freeze(vm) => self.choose_vm(vm).freeze(),
-            NetworkAction::Thaw(vm) => self.choose_vm(vm).thaw(),
-            NetworkAction::Isolate(vm) => self.isolate(self.choose(vm)),
-            NetworkAction::CutLink(from, to) => self.cut_link(self.choose(from), self.choose(to)),
+            NetworkAction::Freeze(vm) => self.resolve_vm(vm).freeze(),
+            NetworkAction::Thaw(vm) => self.resolve_vm(vm).thaw(),
+            NetworkAction::Isolate(vm) => self.isolate(self.resolve(vm)),
+            NetworkAction::CutLink(from, to) => self.cut_link(self.resolve(from), self.resolve(to)),
             NetworkAction::Split(sides) => self.split(sides),
-            NetworkAction::Mend => self.mend_cuts(),
-            NetworkAction::StaySilent(vm) => {
-                let number = self.choose(vm);
+            NetworkAction::HealCuts => self.heal_cuts(),
+            NetworkAction::IsolateForLong(vm) => {
+                let number = self.resolve(vm);
                 self.isolate(number);
-                self.run(SILENT_TICKS);
+                self.run(LONG_ISOLATION_TICKS);
                 self.reconnect(number);
             }
             NetworkAction::LoseDisk(vm) => {
                 if limit.allows(self) {
-                    self.lose_disk(self.choose(vm));
+                    self.lose_disk(self.resolve(vm));
                 }
             }
-            NetworkAction::LoseDiskAfterRepair(vm) => self.lose_two_disks(self.choose(vm)),
+            NetworkAction::LoseDiskAfterRepair(vm) => self.lose_two_disks(self.resolve(vm)),
             NetworkAction::UnmountDisk(vm) => {
                 if limit.allows(self) {
-                    self.unmount_disk(self.choose(vm));
+                    self.unmount_disk(self.resolve(vm));
                 }
             }
             NetworkAction::RemountDisk(vm) => {
-                let number = self.choose(vm);
-                let present = self.vms[number].disk_id();
-                let needed = present.is_some_and(|id| self.is_voter_anywhere(&id));
+                let number = self.resolve(vm);
+                let current = self.vms[number].disk_id();
+                let needed = current.is_some_and(|id| self.is_voter_anywhere(&id));
                 if !needed || limit.allows(self) {
                     self.remount_disk(number);
                 }
             }
             NetworkAction::RemoveVm(vm) => {
                 if limit == LossLimit::Unlimited {
-                    self.remove_everywhere(self.choose(vm));
+                    self.remove_everywhere(self.resolve(vm));
                 }
             }
             NetworkAction::AdmitVm(vm) => {
                 if limit == LossLimit::Unlimited {
-                    self.admit_everywhere(self.choose(vm));
+                    self.admit_everywhere(self.resolve(vm));
                 }
             }
             NetworkAction::Compact(vm) => {
-                let number = self.choose(vm);
+                let number = self.resolve(vm);
                 let rewrite = self.clock.is_multiple_of(2);
                 self.vms[number].compact(rewrite);
-                self.settle(number);
+                self.process_output(number);
             }
-            NetworkAction::SetNoise(noise) => self.noise = noise,
+            NetworkAction::SetMessageFaults(message_faults) => self.message_faults = message_faults,
         }
     }
 
-    fn choose(&self, vm: VmChoice) -> usize {
+    fn resolve(&self, vm: VmChoice) -> usize {
         match vm {
             VmChoice::Number(number) => usize::from(number) % self.vms.len(),
             VmChoice::Leader => self.find_latest_leader().unwrap_or_default(),
         }
     }
 
-    fn choose_vm(&mut self, vm: VmChoice) -> &mut TestVm {
-        let number = self.choose(vm);
+    fn resolve_vm(&mut self, vm: VmChoice) -> &mut TestVm {
+        let number = self.resolve(vm);
         &mut self.vms[number]
     }
 
-    /// Asks every node that takes itself for the leader to remove a VM; it may refuse.
+    /// Asks every running node to remove a VM; any of them may refuse.
     fn remove_everywhere(&mut self, removed: usize) {
         let vm = self.vms[removed].name.clone();
         for number in 0..self.vms.len() {
             if self.vms[number].is_running() {
                 let _ = self.vms[number].node_mut().remove_vm(&vm);
-                self.settle(number);
+                self.process_output(number);
             }
         }
     }
 
-    /// Asks every node that takes itself for the leader to admit a VM; it may refuse.
+    /// Asks every running node to admit a VM; any of them may refuse.
     fn admit_everywhere(&mut self, admitted: usize) {
         let vm = self.vms[admitted].name.clone();
         for number in 0..self.vms.len() {
             if self.vms[number].is_running() {
                 let _ = self.vms[number].node_mut().admit_vm(vm.clone());
-                self.settle(number);
+                self.process_output(number);
             }
         }
     }
 
-    /// Loses a disk, and another one at the first tick at which the repair is reported as done.
+    /// Loses a disk, and another one as soon as the repair is reported as complete.
     fn lose_two_disks(&mut self, number: usize) {
-        if !self.is_whole() {
+        if !self.is_fully_repaired() {
             return;
         }
         self.lose_disk(number);
-        for _ in 0..SILENT_TICKS {
+        for _ in 0..LONG_ISOLATION_TICKS {
             self.run(1);
-            if self.is_whole() {
+            if self.is_fully_repaired() {
                 self.lose_disk((number + 1) % self.vms.len());
                 return;
             }
         }
     }
 
-    /// Restarts a VM with an empty disk, while its own disk isn't mounted.
+    /// Restarts a VM with an empty disk, as if its own disk weren't mounted.
     pub fn unmount_disk(&mut self, number: usize) {
         let vm = &mut self.vms[number];
         vm.stop();
-        vm.disk_away = Some(std::mem::take(&mut vm.disk));
+        vm.unmounted_disk = Some(std::mem::take(&mut vm.disk));
         self.restart(number);
     }
 
-    /// Restarts a VM with the disk that was not mounted, in place of the present one.
+    /// Restarts a VM with the disk that was unmounted, in place of the current one.
     pub fn remount_disk(&mut self, number: usize) {
         let vm = &mut self.vms[number];
-        if let Some(disk) = vm.disk_away.take() {
+        if let Some(disk) = vm.unmounted_disk.take() {
             vm.stop();
             vm.disk = disk;
             self.restart(number);
@@ -258,19 +258,20 @@
     }
 }
 
-/// Which losses of disks a run may bring.
+/// The losses of disks that a run may contain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LossLimit {
-    /// One at a time: the next only when the log is whole, so that it must come back whole.
+    /// One at a time, each only after the previous repair is complete, so that the log must
+    /// recover.
     Repairable,
-    /// Any: the log may stop for good, but must never disagree.
+    /// Any: the log may become unavailable for good, but nodes must never disagree.
     Unlimited,
 }
 
 impl LossLimit {
     fn allows(self, network: &TestNetwork) -> bool {
         match self {
-            Self::Repairable => network.is_whole(),
+            Self::Repairable => network.is_fully_repaired(),
             Self::Unlimited => true,
         }
     }
@@ -284,12 +285,12 @@
     pub seed: u64,
     pub limit: LossLimit,
     pub guards: GuardSet,
-    /// Whether an empty disk gets the former incarnation again, which is a fault.
-    pub repeats_incarnation: bool,
+    /// Whether an empty disk gets the previous incarnation again, which is a fault.
+    pub reuses_incarnation: bool,
 }
 
 impl RandomRun {
-    /// Creates a run that keeps to the rules.
+    /// Creates a run with all guards in force and a new incarnation for each empty disk.
     pub fn new(vms: usize, steps: usize, seed: u64, limit: LossLimit) -> Self {
         Self {
             vms,
@@ -297,21 +298,21 @@
             seed,
             limit,
             guards: GuardSet::all(),
-            repeats_incarnation: false,
+            reuses_incarnation: false,
         }
     }
 
-    /// Carries the run out, and expects the log to recover if the losses were repairable.
+    /// Carries out the run, and expects the log to recover if the losses were repairable.
     pub fn execute(&self) -> TestNetwork {
         let mut source = Gen::from_size_and_seed(self.steps, self.seed);
         let mut network = TestNetwork::formed(self.vms, self.seed, &self.guards);
-        if self.repeats_incarnation {
-            network.vms.iter_mut().for_each(TestVm::repeat_incarnation);
+        if self.reuses_incarnation {
+            network.vms.iter_mut().for_each(TestVm::reuse_incarnation);
         }
         network.limit_batches(self.choose_limits());
         network.run(30);
         for _ in 0..self.steps {
-            network.act(&NetworkAction::arbitrary(&mut source), self.limit);
+            network.apply_action(&NetworkAction::arbitrary(&mut source), self.limit);
         }
         if self.limit == LossLimit::Repairable {
             network.expect_recovery();
--- a/crates/control/tests/agreement_network/vm.rs
+++ b/crates/control/tests/agreement_network/vm.rs
@@ -1,4 +1,4 @@
-//! One VM of the test network: its process, its disk and its applied state.
+//! One VM of the simulated network: its process, disk and applied state.
 
 use super::checker::AppliedState;
 use super::checker::LogChecker;
@@ -17,20 +17,20 @@
 use ragwort_types::VmName;
 use std::collections::BTreeMap;
 
-/// Where a process ends while it carries out an output with writes.
+/// The point at which a process crashes while it carries out an output with writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashPoint {
-    /// Before anything reached the disk.
+    /// Before the record is written.
     BeforeWrite,
-    /// With a part of the record on the disk, of a hundred.
+    /// With this percentage of the record written.
     InWrite(u8),
-    /// As before, with zeros where the rest should be.
+    /// With this percentage of the record written, and zeros in place of the rest.
     InWriteZeros(u8),
-    /// After the sync, before anything is sent.
+    /// After the sync, before any message is sent.
     AfterSync,
 }
 
-/// Bounds of the leader's messages.
+/// Limits of the leader's messages: entries and bytes per message, and unacknowledged entries.
 #[derive(Clone, Copy, Debug)]
 pub struct BatchLimits {
     pub entries: usize,
@@ -48,18 +48,18 @@
     }
 }
 
-/// A VM.
+/// A simulated VM.
 pub struct TestVm {
     pub name: VmName,
     pub disk: Vec<u8>,
-    /// A disk that isn't mounted at present.
-    pub disk_away: Option<Vec<u8>>,
+    /// The VM's disk while it isn't mounted.
+    pub unmounted_disk: Option<Vec<u8>>,
     pub state: AppliedState,
     pub crash_at: Option<CrashPoint>,
-    /// Which incarnation the next empty disk gets.
+    /// The incarnation that the next empty disk gets.
     pub next_incarnation: VmIncarnation,
-    /// Whether an empty disk gets the former incarnation again, which is a fault.
-    repeats_incarnation: bool,
+    /// Whether an empty disk gets the previous incarnation again, which is a fault.
+    reuses_incarnation: bool,
     pub confirmed_reads: usize,
     pub lost_reads: usize,
     node: Option<AgreementNode>,
@@ -77,11 +77,11 @@
         let mut vm = Self {
             name: name.into(),
             disk: Vec::new(),
-            disk_away: None,
+            unmounted_disk: None,
             state: AppliedState::default(),
             crash_at: None,
             next_incarnation: VmIncarnation(1),
-            repeats_incarnation: false,
+            reuses_incarnation: false,
             confirmed_reads: 0,
             lost_reads: 0,
             node: None,
@@ -129,7 +129,7 @@
         self.reads.clear();
     }
 
-    /// Starts the process from the disk, cutting a torn tail.
+    /// Starts the process from the disk, after truncating a torn tail.
     pub fn start(&mut self) {
         if self.node.is_some() {
             return;
@@ -137,7 +137,7 @@
         let restored = DurableState::from_records(&self.disk).expect("the disk is intact");
         self.disk.truncate(restored.valid_length);
         let id = VoterId::new(self.name.clone(), self.next_incarnation);
-        if restored.state.id().is_none() && !self.repeats_incarnation {
+        if restored.state.id().is_none() && !self.reuses_incarnation {
             self.next_incarnation = self.next_incarnation.next();
         }
         let mut settings = AgreementSettings::new(id, self.peers.clone(), self.seed);
@@ -149,13 +149,13 @@
         self.node = Some(AgreementNode::start(settings, restored.state).expect("the disk is ours"));
     }
 
-    /// Lets every empty disk get the first incarnation again.
-    pub fn repeat_incarnation(&mut self) {
-        self.repeats_incarnation = true;
+    /// Makes every empty disk get the first incarnation again.
+    pub fn reuse_incarnation(&mut self) {
+        self.reuses_incarnation = true;
         self.next_incarnation = VmIncarnation(1);
     }
 
-    /// Returns what the disk holds.
+    /// Returns the durable state on the disk.
     pub fn read_disk(&self) -> DurableState {
         let restored = DurableState::from_records(&self.disk);
         restored.expect("the disk is intact").state
@@ -166,7 +166,7 @@
         self.read_disk().id().cloned()
     }
 
-    /// Asks for a read, which must cover what is committed anywhere by now.
+    /// Begins a read, whose answer must include every entry that is committed on any node by now.
     pub fn begin_read(&mut self, checker: &LogChecker) {
         let covered = checker.last_committed();
         let ticket = self.node_mut().confirm_read();
@@ -174,7 +174,8 @@
             .insert(ticket.expect("the node is the leader"), covered);
     }
 
-    /// Compacts the log at the applied state, and replaces the whole file if asked to.
+    /// Compacts the log at the applied state; with `rewrite`, the next sync replaces the whole
+    /// file.
     pub fn compact(&mut self, rewrite: bool) {
         let applied = self.state.applied;
         let text = self.state.to_text();
@@ -185,8 +186,9 @@
         self.rewrite_next = compacted && rewrite;
     }
 
-    /// Carries out one output: writes, sync, then all else. Returns the messages sent.
-    pub fn settle(&mut self, checker: &mut LogChecker) -> Vec<OutboundMessage> {
+    /// Carries out one output: the writes and their sync, then the rest. Returns the messages to
+    /// send.
+    pub fn process_output(&mut self, checker: &mut LogChecker) -> Vec<OutboundMessage> {
         let Some(node) = &mut self.node else {
             return Vec::new();
         };
@@ -198,13 +200,13 @@
         self.apply(output, checker)
     }
 
-    /// Writes and syncs; says whether the process lives on.
+    /// Writes and syncs; returns `false` if the process crashes.
     fn sync(&mut self, output: &AgreementOutput, checker: &mut LogChecker) -> bool {
         if self.rewrite_next && self.crash_at.is_none() {
-            // A new file with the whole state is put in place of the old one.
+            // A new file with the whole state replaces the old one.
             self.rewrite_next = false;
             self.disk = self.node().durable_state().to_records();
-            checker.note_writes(&output.writes);
+            checker.record_writes(&output.writes);
             return true;
         }
         let record = encode_record(&output.writes);
@@ -225,23 +227,23 @@
             }
             Some(CrashPoint::AfterSync) => {
                 self.disk.extend_from_slice(&record);
-                checker.note_writes(&output.writes);
+                checker.record_writes(&output.writes);
                 return false;
             }
         }
         self.disk.extend_from_slice(&record);
-        checker.note_writes(&output.writes);
+        checker.record_writes(&output.writes);
         true
     }
 
     fn apply(&mut self, output: AgreementOutput, checker: &mut LogChecker) -> Vec<OutboundMessage> {
         if let Some(snapshot) = &output.install {
             self.state.install(snapshot);
-            checker.note_install(&self.name, &self.state);
+            checker.record_install(&self.name, &self.state);
         }
         for entry in &output.committed {
             self.state.apply(&self.name, entry);
-            checker.note_committed(&self.name, entry, &self.state);
+            checker.record_committed(&self.name, entry, &self.state);
         }
         for ticket in &output.confirmed_reads {
             let covered = self.reads.remove(ticket).expect("the ticket was asked for");
@@ -257,13 +259,13 @@
             self.reads.remove(ticket).expect("the ticket was asked for");
             self.lost_reads += 1;
         }
-        checker.note_leader(self.node.as_ref());
+        checker.record_leader(self.node.as_ref());
         let outbound = output.messages.iter();
         outbound.for_each(|outbound| self.expect_bounded(&outbound.message.body));
         output.messages
     }
 
-    /// Expects a message within the limits, however far its receiver is behind.
+    /// Expects a message to be within the limits, however far its receiver is behind.
     fn expect_bounded(&self, body: &MessageBody) {
         match body {
             MessageBody::Append(batch) => {
--- a/crates/control/tests/agreement_random.rs
+++ b/crates/control/tests/agreement_random.rs
@@ -1,10 +1,11 @@
 //! Random runs of the agreed log over three and five VMs, with fixed seeds.
 //!
-//! Each run mixes proposals and reads with lost, doubled, delayed and reordered messages, cuts,
-//! frozen processes, crashes at every sync, lost and remounted disks, long silences and compacted
-//! logs. Throughout: one leader per term, equal logs, no committed entry lost or changed, applied
-//! indices that only grow, and reads that are never stale. At the end the faults cease, and the log
-//! must become whole again by itself, unless more disks were lost than can be repaired.
+//! Each run mixes proposals and reads with lost, duplicated, delayed and reordered messages,
+//! network partitions, frozen processes, crashes at syncs, lost and remounted disks, long isolation
+//! and log compaction. Invariants throughout: one leader per term, equal logs, no committed entry
+//! lost or changed, applied indices that never decrease, and no stale reads. At the end the faults
+//! stop, and the log must recover all voters by itself, unless more disks were lost than can be
+//! repaired.
 
 mod agreement_network;
 
@@ -33,39 +34,39 @@
     five_vms_with_any_losses: 5, 200, LossLimit::Unlimited, 3000..3200;
 }
 
-/// Runs seeds until a check fails, and expects the failure to be the one meant.
-macro_rules! noticed_faults {
-    ($($name:ident: $harm:literal, $change:expr;)*) => {$(
+/// Runs seeds until a check fails, and expects that failure to be the given one.
+macro_rules! detected_faults {
+    ($($name:ident: $failure:literal, $change:expr;)*) => {$(
         #[test]
         fn $name() {
             let change: fn(&mut RandomRun) = $change;
-            let harm = (0..400).find_map(|seed| {
+            let failure = (0..400).find_map(|seed| {
                 let mut run = RandomRun::new(3, 100, seed, LossLimit::Repairable);
                 change(&mut run);
                 let payload = panic::catch_unwind(|| drop(run.execute())).err()?;
                 payload.downcast_ref::<String>().cloned()
             });
-            let harm = harm.expect("the runs notice the fault");
-            println!("{harm}");
-            assert!(harm.contains($harm), "another harm than expected: {harm}");
+            let failure = failure.expect("a run detects the fault");
+            println!("{failure}");
+            assert!(failure.contains($failure), "unexpected failure: {failure}");
         }
     )*};
 }
 
-// The runs must be rough enough to notice that a rule is missing.
-noticed_faults! {
-    notice_missing_read_confirmation: "stale read", |run| {
+// Shows that the random runs contain enough faults to detect a missing guard.
+detected_faults! {
+    detects_missing_read_confirmation: "stale read", |run| {
         run.guards = GuardSet::without(AgreementGuard::ReadConfirmation);
     };
-    notice_missing_own_entry: "stale read", |run| {
+    detects_missing_own_entry: "stale read", |run| {
         run.guards = GuardSet::without(AgreementGuard::ReadAfterOwnEntry);
     };
-    notice_missing_pre_vote: "isn't whole again", |run| {
+    detects_missing_pre_vote: "isn't fully repaired", |run| {
         run.guards = GuardSet::without(AgreementGuard::PreVote);
     };
-    notice_repeated_incarnation: "another entry", |run| {
+    detects_reused_incarnation: "another entry", |run| {
         run.guards = GuardSet::without(AgreementGuard::ConfiguredVote);
-        run.repeats_incarnation = true;
+        run.reuses_incarnation = true;
         run.limit = LossLimit::Unlimited;
     };
 }
