--- a/crates/control/src/accounts.rs
+++ b/crates/control/src/accounts.rs
@@ -1,7 +1,7 @@
-//! How the catalog takes client accounts, and how callers' keys are found in it.
+//! Client accounts in the catalog, and the lookup of an account by a caller's key.
 //!
-//! The catalog holds digests in place of keys: whoever reads a dump, a delta or a gateway's memory
-//! learns no key. Only the document itself, as its operator wrote it, has them.
+//! The catalog holds digests instead of keys, so that a dump, a delta or a gateway's memory reveals
+//! no key. Only the document itself, as its operator wrote it, contains them.
 
 use crate::catalog::CatalogState;
 use crate::catalog::StampedItem;
@@ -22,15 +22,15 @@
 use std::collections::BTreeSet;
 use std::collections::HashMap;
 
-/// The most accounts that are gone and remembered for deltas; a member that missed more gets the whole
-/// catalog.
-const MOST_GONE: usize = 1_024;
+/// Largest number of removed accounts that are kept for deltas; a member that missed more gets the
+/// whole catalog.
+const MAX_REMOVED_ACCOUNTS: usize = 1_024;
 
-/// Returns a key's digest under a seal.
+/// Returns a key's digest (a truncated HMAC-SHA-256) under a seal.
 ///
 /// # Panics
 ///
-/// Never: a key of any length can be digested.
+/// Never panics: a seal of any length is accepted.
 pub fn digest_key(seal: DigestSeal, key: &AccountKey) -> KeyDigest {
     let mac = Hmac::<Sha256>::new_from_slice(&seal.0);
     let mut mac = mac.expect("a seal of any length is taken");
@@ -47,7 +47,7 @@
         self.accounts.get(name).map(|held| &held.item)
     }
 
-    /// Puts the document's accounts in force and drops all others.
+    /// Puts the document's accounts in force and removes all others.
     pub(crate) fn replace_accounts(
         &mut self,
         revision: CatalogRevision,
@@ -92,7 +92,7 @@
         }
         self.gone_accounts.insert(name.clone(), revision);
         self.note_change(revision, None, CatalogKey::AccountGone(name));
-        while self.gone_accounts.len() > MOST_GONE {
+        while self.gone_accounts.len() > MAX_REMOVED_ACCOUNTS {
             let oldest = self.gone_accounts.iter().min_by_key(|(_, stamp)| **stamp);
             let Some((name, stamp)) = oldest.map(|(name, stamp)| (name.clone(), *stamp)) else {
                 return;
@@ -114,7 +114,7 @@
     }
 }
 
-/// The accounts as a member knows them, found by their callers' keys.
+/// A member's accounts, indexed by the digests of their keys.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AccountTable {
     accounts: BTreeMap<AccountName, AccountTerms>,
@@ -122,7 +122,7 @@
 }
 
 impl AccountTable {
-    /// Digests a key as the table's accounts have it; `None` if there are no accounts.
+    /// Digests a key under the accounts' seal; `None` if there are no accounts.
     pub fn digest(&self, key: &AccountKey) -> Option<KeyDigest> {
         let (_, any) = self.accounts.first_key_value()?;
         Some(digest_key(any.seal, key))
@@ -156,7 +156,7 @@
             return;
         };
         for digest in &former.keys {
-            // A key that moved to another account is that one's by now.
+            // The key may have moved to another account, which holds it now.
             if self.holders.get(digest) == Some(name) {
                 self.holders.remove(digest);
             }
--- a/crates/control/src/answers.rs
+++ b/crates/control/src/answers.rs
@@ -1,10 +1,10 @@
-//! The answers that were given to contract changes, kept compactly for good.
+//! A compact, permanent table of the answers given to contract changes.
 //!
-//! A resend gets the first answer however much later, so answers are never dropped, and at 2,300
-//! changes a day they would come to outgrow a control VM's memory. Each takes [`RECORD_BYTES`]:
-//! ids and contents are kept as digests only. Two different ids share a digest by a chance of one
-//! in ten million within two years; the later change is then refused as if its id had been used
-//! before, and its operator sends it under another.
+//! A resend gets the first answer however late it comes, so answers are never removed. At 2,300
+//! changes a day, full answers would outgrow a control VM's memory. A record takes [`RECORD_BYTES`]
+//! because ids and contents are kept as digests only. The probability that two different ids share
+//! a digest within two years is one in ten million; the later change is then refused as if its id
+//! had been used before, and its operator sends it under another id.
 
 use crate::digest::digest_bytes;
 use crate::digest::mix_bits;
@@ -21,21 +21,21 @@
 use serde::ser::SerializeSeq;
 use std::collections::BTreeMap;
 
-/// The size of one record, in memory and before its text encoding.
+/// Size of a record in bytes, in memory and before its text encoding.
 const RECORD_BYTES: usize = 24;
 
-/// The most records that wait to be merged into the sorted ones: two days of changes.
-const MOST_RECENT: usize = 4_096;
+/// Largest number of records outside the sorted part: two days of changes.
+const MAX_RECENT_RECORDS: usize = 4_096;
 
-/// The number of records in one piece of the text form, so that no second copy of all is made.
-const RECORDS_IN_PIECE: usize = 1_024;
+/// Records per chunk of the text form, which avoids a second copy of the whole table.
+const RECORDS_PER_CHUNK: usize = 1_024;
 
-/// What was answered to a change.
+/// The answer to a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ChangeAnswer {
-    /// It was accepted under this version, at this revision.
+    /// The change was accepted under this version, at this revision.
     Accepted(ContractVersion, CatalogRevision),
-    /// The contract of this version had won.
+    /// The change lost to the contract of this version.
     Conflict(ContractVersion),
     /// The customer had no contract.
     Unknown,
@@ -51,20 +51,20 @@
     version: u32,
 }
 
-/// The answers by change id.
+/// Answers by change id.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AnswerTable {
-    /// Sorted by digest; most of the answers.
+    /// Most of the records, sorted by the digest of the id.
     sorted: Vec<AnswerRecord>,
     recent: BTreeMap<u64, AnswerRecord>,
 }
 
-/// An answer that was found under a change's id.
+/// The result of a search for a change's id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FoundAnswer {
-    /// The id and the content are the same.
+    /// The id was used with the same content.
     Same(ChangeAnswer),
-    /// The id was used for another content.
+    /// The id was used with other content.
     OtherContent,
 }
 
@@ -91,12 +91,12 @@
     pub(crate) fn insert(&mut self, id: ChangeId, content: &str, answer: ChangeAnswer) {
         let record = AnswerRecord::new(digest_id(id), digest_content(content), answer);
         self.recent.insert(record.id_digest, record);
-        if self.recent.len() >= MOST_RECENT {
+        if self.recent.len() >= MAX_RECENT_RECORDS {
             self.merge_recent();
         }
     }
 
-    /// Merges the recent records into the sorted ones, from the back, within one allocation.
+    /// Merges the recent records into the sorted ones from the back, with a single allocation.
     fn merge_recent(&mut self) {
         let mut left = self.sorted.len();
         let recent = std::mem::take(&mut self.recent);
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Returns a table without recent records; equal tables have equal merged ones.
+    /// Returns all records sorted; they are equal for equal tables.
     fn to_merged(&self) -> Vec<AnswerRecord> {
         let mut records = self.sorted.clone();
         records.extend(self.recent.values());
@@ -145,7 +145,8 @@
             id_digest,
             revision,
             content_digest,
-            // A customer's contract would have to change each second for 136 years to get there.
+            // To exceed 32 bits, a customer's contract would have to change every second for 136
+            // years.
             version: u32::try_from(version).unwrap_or(u32::MAX),
         }
     }
@@ -187,55 +188,55 @@
     mix_bits(digest_bytes(id.0.as_bytes().iter().copied()))
 }
 
-/// Returns a content's digest. It is compared under one id only, so 32 bits are enough: one in four
-/// billion reuses of an id would pass for a resend.
+/// Returns the digest of a change's content. It is compared under one id only, so 32 bits suffice:
+/// one in four billion reuses of an id would pass for a resend.
 fn digest_content(content: &str) -> u32 {
     (mix_bits(digest_bytes(content.bytes())) >> 32) as u32
 }
 
 impl Serialize for AnswerTable {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        let mut pieces = serializer.serialize_seq(None)?;
-        let mut bytes = Vec::with_capacity(RECORDS_IN_PIECE * RECORD_BYTES);
+        let mut chunks = serializer.serialize_seq(None)?;
+        let mut bytes = Vec::with_capacity(RECORDS_PER_CHUNK * RECORD_BYTES);
         for record in self.sorted.iter().chain(self.recent.values()) {
             bytes.extend(record.to_bytes());
-            if bytes.len() == RECORDS_IN_PIECE * RECORD_BYTES {
-                pieces.serialize_element(&STANDARD_NO_PAD.encode(&bytes))?;
+            if bytes.len() == RECORDS_PER_CHUNK * RECORD_BYTES {
+                chunks.serialize_element(&STANDARD_NO_PAD.encode(&bytes))?;
                 bytes.clear();
             }
         }
         if !bytes.is_empty() {
-            pieces.serialize_element(&STANDARD_NO_PAD.encode(&bytes))?;
+            chunks.serialize_element(&STANDARD_NO_PAD.encode(&bytes))?;
         }
-        pieces.end()
+        chunks.end()
     }
 }
 
 impl<'de> Deserialize<'de> for AnswerTable {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_seq(PieceVisitor)
+        deserializer.deserialize_seq(ChunkVisitor)
     }
 }
 
-struct PieceVisitor;
+struct ChunkVisitor;
 
-impl<'de> serde::de::Visitor<'de> for PieceVisitor {
+impl<'de> serde::de::Visitor<'de> for ChunkVisitor {
     type Value = AnswerTable;
 
     fn expecting(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.write_str("pieces of answer records in base64")
+        formatter.write_str("chunks of answer records in base64")
     }
 
     fn visit_seq<A: serde::de::SeqAccess<'de>>(
         self,
-        mut pieces: A,
+        mut chunks: A,
     ) -> Result<AnswerTable, A::Error> {
         let mut sorted = Vec::new();
-        while let Some(piece) = pieces.next_element::<String>()? {
-            let bytes = STANDARD_NO_PAD.decode(piece).map_err(A::Error::custom)?;
+        while let Some(chunk) = chunks.next_element::<String>()? {
+            let bytes = STANDARD_NO_PAD.decode(chunk).map_err(A::Error::custom)?;
             let (records, rest) = bytes.as_chunks::<RECORD_BYTES>();
             if !rest.is_empty() {
-                return Err(A::Error::custom("a record of an answer is cut short"));
+                return Err(A::Error::custom("truncated answer record"));
             }
             sorted.extend(records.iter().map(AnswerRecord::from_bytes));
         }
--- a/crates/control/src/candidate.rs
+++ b/crates/control/src/candidate.rs
@@ -1,4 +1,4 @@
-//! Which of the fenced instances is promoted.
+//! Choice of the instance to promote among those that are fenced.
 
 use crate::quorum::majority;
 use ragwort_types::InstanceName;
@@ -6,7 +6,7 @@
 use smallvec::SmallVec;
 use std::collections::BTreeMap;
 
-/// The instances that were fenced at a term, with their final positions for earlier terms.
+/// The instances that were fenced at a term, with their final positions in earlier terms.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FencedInstances {
     positions: BTreeMap<InstanceName, LogPosition>,
@@ -41,12 +41,12 @@
         !set.is_empty() && self.count(set) == set.len()
     }
 
-    /// Chooses whom to promote: the highest position, but rather not the former primary, whose
-    /// agent may answer while its database is dead.
+    /// Chooses the fenced instance to promote: the one with the highest position, but preferably
+    /// not the former primary, whose agent may answer although its database is dead.
     ///
-    /// Passing it over is safe only if the others hold everything that was acknowledged. A write
-    /// may have been acknowledged if the fenced instances that hold it and all that aren't fenced
-    /// would make a majority together.
+    /// The former primary may be passed over only if another instance holds all acknowledged
+    /// writes. A write may have been acknowledged if the fenced instances that hold it and all
+    /// instances that aren't fenced would form a majority together.
     pub(crate) fn choose(
         &self,
         set: &[InstanceName],
--- a/crates/control/src/catalog.rs
+++ b/crates/control/src/catalog.rs
@@ -1,8 +1,8 @@
-//! The catalog: what the agreed log's commands add up to.
+//! The catalog: the state that results from the commands of the agreed log.
 //!
-//! Every control VM applies the same commands in the same order and so holds the same catalog.
-//! Each command names the state it builds on and is refused if that state has changed, because
-//! its sender may act on an old view: a former leaseholder, a delayed message, a restarted daemon.
+//! Every control VM applies the same commands in the same order and so holds the same catalog. A
+//! command names the state on which it builds and is refused if that state has changed, because its
+//! sender may act on an outdated view: a former leaseholder, a delayed message, a restarted daemon.
 
 use crate::contracts::ChangeLedger;
 use ragwort_types::AccountName;
@@ -30,7 +30,7 @@
 use std::fmt;
 use std::ops::Bound;
 
-/// The catalog, as every control VM holds it.
+/// The state of the catalog on a control VM.
 ///
 /// # Examples
 ///
@@ -49,24 +49,24 @@
     pub(crate) delta_floor: CatalogRevision,
     pub(crate) ledger: ChangeLedger,
     pub(crate) contract_stamps: BTreeMap<CustomerName, CatalogRevision>,
-    /// Contracts that a document left out, with the revision at which they went.
+    /// Contracts that a document removed, with the revision of their removal.
     pub(crate) retired: BTreeMap<CustomerName, CatalogRevision>,
     pub(crate) document: Option<DocumentCopy>,
     pub(crate) terms: BTreeMap<GroupName, StampedItem<GroupTerms>>,
     pub(crate) accounts: BTreeMap<AccountName, StampedItem<AccountTerms>>,
-    /// Accounts that a document left out, with the revision at which they went.
+    /// Accounts that a document removed, with the revision of their removal.
     pub(crate) gone_accounts: BTreeMap<AccountName, CatalogRevision>,
-    /// The secret under which keys are digested, from the first document with accounts on.
+    /// The secret under which keys are digested; set by the first document with accounts.
     pub(crate) seal: Option<DigestSeal>,
     pub(crate) members: BTreeMap<VmName, StampedItem<MemberRecord>>,
     pub(crate) departures: BTreeMap<VmName, StampedItem<VmIncarnation>>,
     pub(crate) groups: BTreeMap<GroupName, StampedItem<GroupRecord>>,
-    /// Which items last changed at which revision; derived from the above.
+    /// The items by the revision of their last change; derived from the other fields.
     #[serde(skip)]
     pub(crate) changes: BTreeMap<CatalogRevision, SmallVec<[CatalogKey; 1]>>,
 }
 
-/// The stored form of a [`CatalogState`], without what is derived.
+/// The stored form of a [`CatalogState`], without derived fields.
 #[derive(Deserialize)]
 struct CatalogImage {
     revision: CatalogRevision,
@@ -156,12 +156,12 @@
         self.groups.values().map(|record| &record.item)
     }
 
-    /// Writes the catalog as text, for a snapshot of the log.
+    /// Serializes the catalog for a snapshot of the log.
     pub fn to_snapshot(&self) -> String {
         serde_json::to_string(self).expect("a catalog has text keys only")
     }
 
-    /// Reads a catalog that [`to_snapshot`](Self::to_snapshot) wrote.
+    /// Restores a catalog from a text written by [`to_snapshot`](Self::to_snapshot).
     ///
     /// # Errors
     ///
@@ -174,7 +174,7 @@
 
     /// Applies one command of the log at its index.
     ///
-    /// The revision moves only if an item changed.
+    /// The revision changes only if an item changed.
     ///
     /// # Panics
     ///
@@ -207,7 +207,7 @@
 
     /// Returns what changed after `from`, or everything if `from` is zero or too old for a delta.
     ///
-    /// An asker that is ahead of this catalog gets an empty delta that leaves it where it is.
+    /// If `from` is ahead of this catalog, the delta is empty and leads to `from`.
     pub fn delta_since(&self, from: CatalogRevision) -> CatalogDelta {
         if from == CatalogRevision(0) || from < self.delta_floor {
             return CatalogDelta {
@@ -268,7 +268,7 @@
         customer: &CustomerName,
         outcome: &CatalogOutcome,
     ) {
-        // A resend shows the revision of its first acceptance, which is an earlier one.
+        // The answer to a resend contains the earlier revision of its first acceptance.
         let CatalogOutcome::ContractAccepted(acceptance) = outcome else {
             return;
         };
@@ -314,8 +314,9 @@
         self.revision = revision;
     }
 
-    /// Keeps the keys of a revision in order, so that control VMs that restored the catalog from a
-    /// snapshot send the same deltas as those that applied every command.
+    /// Records an item's change at a revision. The keys of a revision are sorted, so that control
+    /// VMs that restored the catalog from a snapshot send the same deltas as those that applied
+    /// every command.
     fn index_change(&mut self, revision: CatalogRevision, key: CatalogKey) {
         let keys = self.changes.entry(revision).or_default();
         keys.push(key);
--- a/crates/control/src/chart.rs
+++ b/crates/control/src/chart.rs
@@ -1,16 +1,15 @@
-//! State charts that are read from files and interpreted.
+//! Interpreter for state charts that are defined in YAML files.
 //!
-//! A chart lists, for each state and event, what happens or that the event is ignored there. The
-//! code gives the names their meaning: guards are questions, actions are things to do. A transition
-//! that someone forgot shows as a gap when the chart is checked, instead of as a promotion that
-//! hangs when two failures meet.
+//! A chart lists, for each state and event, the transitions or that the event is ignored. The code
+//! implements the guards and actions that a chart names. A missing transition is found when the
+//! chart is checked, rather than as a promotion that hangs when two failures coincide.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 use std::fmt::Debug;
 
-/// The names that one chart is written in.
+/// The states, events, guards and actions of one chart.
 pub trait ChartVocabulary: Debug {
     /// The states.
     type State: ChartName;
@@ -22,7 +21,7 @@
     type Action: ChartName;
 }
 
-/// A closed set of names, each written in a chart in snake case.
+/// A closed set of names, written in snake case in a chart.
 pub trait ChartName: Copy + Debug + Ord + for<'de> Deserialize<'de> + 'static {
     /// All names of the set.
     const ALL: &'static [Self];
@@ -53,7 +52,7 @@
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, bound = "")]
 pub struct StateChart<V: ChartVocabulary> {
-    /// The states in which a machine may begin.
+    /// The states in which a machine may start.
     entry: Vec<V::State>,
     states: BTreeMap<V::State, StateRules<V>>,
 }
@@ -70,30 +69,30 @@
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, bound = "")]
 struct ChartBranch<V: ChartVocabulary> {
-    /// The branch is taken only if this holds; branches are tried in order.
+    /// The branch is taken only if the guard holds; branches are tried in order.
     guard: Option<V::Guard>,
-    /// The state that follows; the same state if none is named.
+    /// The next state; the same state if absent.
     target: Option<V::State>,
     #[serde(default = "Vec::new")]
     actions: Vec<V::Action>,
 }
 
-/// What an event leads to.
+/// The result of an event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChartStep<V: ChartVocabulary> {
-    /// The state that follows.
+    /// The next state.
     pub target: V::State,
-    /// What to do, in this order.
+    /// The actions, in the order in which they must be carried out.
     pub actions: Vec<V::Action>,
 }
 
 impl<V: ChartVocabulary> StateChart<V> {
-    /// Reads a chart.
+    /// Parses a chart.
     ///
     /// # Panics
     ///
-    /// Panics if the text isn't a chart of these names. Charts are part of the program, and a test
-    /// reads each of them.
+    /// Panics if the text isn't a chart of this vocabulary. Charts are part of the program, and a
+    /// test parses each of them.
     pub fn from_yaml(text: &str) -> Self {
         match serde_saphyr::from_str(text) {
             Ok(chart) => chart,
@@ -101,9 +100,9 @@
         }
     }
 
-    /// Returns what an event leads to; the same state and no actions if it is ignored.
+    /// Returns the result of an event; the same state and no actions if it is ignored.
     ///
-    /// `holds` answers the guards.
+    /// `holds` evaluates the guards.
     pub fn step(
         &self,
         state: V::State,
@@ -120,10 +119,10 @@
         }
     }
 
-    /// Lists in words what the chart lacks; an empty list means that it is complete.
+    /// Describes what the chart lacks; an empty list means that it is complete.
     ///
-    /// Complete means that each state handles or ignores each event, once, that the last branch of
-    /// an event has no guard, that each guard and action is used, and that each state is reachable.
+    /// In a complete chart, each state either handles or ignores each event, the last branch of an
+    /// event has no guard, each guard and action is used, and each state is reachable.
     pub fn find_gaps(&self) -> Vec<String> {
         let mut gaps = Vec::new();
         for state in V::State::ALL {
--- a/crates/control/src/contracts.rs
+++ b/crates/control/src/contracts.rs
@@ -1,9 +1,9 @@
 //! Contracts and the answers to their changes.
 //!
-//! Operators race each other with changes on the same version, and resend a change after losing
-//! its answer. Without a record of each change id, a resend that arrives after another change would
-//! be told of a conflict with a change that was built on its own success, and the operator would
-//! apply it a second time. So every answer is kept, compactly, for good.
+//! Operators may send concurrent changes of the same version, and resend a change after its answer
+//! was lost. If no answers were kept, a resend that arrives after another change would be told of a
+//! conflict with a change that was built on its own success, and the operator would apply it a
+//! second time. Every answer is therefore kept permanently, in a compact form.
 
 use crate::answers::AnswerTable;
 use crate::answers::ChangeAnswer;
@@ -21,12 +21,12 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// The contracts, and the answer given to each change id.
+/// The contracts and the answer to each change id.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ChangeLedger {
     contracts: BTreeMap<CustomerName, VersionedContract>,
     answers: AnswerTable,
-    /// Contracts that were shown as the winner of a conflict, for resends of the loser.
+    /// Contracts that won a conflict, to repeat the answer to resends of the losing change.
     winners: BTreeMap<CustomerName, BTreeMap<ContractVersion, VersionedContract>>,
 }
 
@@ -46,7 +46,7 @@
         self.answers.len()
     }
 
-    /// Applies a change, or answers a resend as the first time.
+    /// Applies a change, or repeats the first answer to a resend.
     pub(crate) fn apply_change(
         &mut self,
         revision: CatalogRevision,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Puts a contract of a document in force; false if it was so before.
+    /// Puts a document's contract in force and returns whether it differs from the present one.
     pub(crate) fn put_contract(&mut self, contract: &CustomerContract, source: ChangeId) -> bool {
         let held = self.contracts.get(&contract.customer);
         if held.is_some_and(|held| held.contract == *contract) {
@@ -108,7 +108,7 @@
         true
     }
 
-    /// Drops a contract that a document left out.
+    /// Removes a contract that a document no longer contains.
     pub(crate) fn drop_contract(&mut self, customer: &CustomerName) {
         self.contracts.remove(customer);
     }
@@ -146,7 +146,7 @@
     }
 }
 
-/// Returns what has to be the same in each resend of a change.
+/// Returns the text that must be the same in every resend of a change.
 fn content_text(change: &ContractChange) -> String {
     let content = (&change.base_version, &change.contract);
     serde_json::to_string(&content).expect("a contract has text keys only")
--- a/crates/control/src/copy.rs
+++ b/crates/control/src/copy.rs
@@ -1,8 +1,8 @@
 //! A member's copy of the catalog.
 //!
-//! A member that went back to an earlier revision would serve under a contract that operators were
-//! told is replaced. It would show as a limit that flaps after a restart or a change of control
-//! VM. So a copy takes a delta only if it leads onward from where the copy stands.
+//! If a copy went back to an earlier revision, for instance after a restart or a change of the
+//! control VM, its member would serve under a contract that operators were told is replaced. A copy
+//! therefore applies a delta only if it leads forward from the copy's revision.
 
 use crate::accounts::AccountTable;
 use ragwort_types::CatalogDelta;
@@ -20,7 +20,7 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Why a delta was not applied; the copy is unchanged.
+/// The reason why a delta was not applied; the copy is unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeltaError {
     /// The delta builds on a revision that the copy hasn't reached.
@@ -60,7 +60,7 @@
 
 impl std::error::Error for DeltaError {}
 
-/// What a delta changed.
+/// The changes that a delta made.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CopyChanges {
     /// Groups whose records differ from before.
@@ -69,7 +69,7 @@
     pub customers: Vec<CustomerName>,
     /// VMs that joined, changed or left.
     pub vms: Vec<VmName>,
-    /// Whether other callers may be taken than before.
+    /// Whether the set of admitted callers may have changed.
     pub callers: bool,
 }
 
@@ -135,10 +135,10 @@
         self.groups.values()
     }
 
-    /// Applies a delta or a snapshot and says what it changed.
+    /// Applies a delta or a snapshot and returns the changes.
     ///
     /// A delta that builds on an earlier revision than the copy's is applied too: its items are
-    /// whole records, so those that the copy holds already are only set again.
+    /// complete records, so setting those that the copy already holds again does no harm.
     ///
     /// # Errors
     ///
@@ -166,11 +166,11 @@
             delta.to
         );
         self.revision = delta.to;
-        changes.callers = delta.items.iter().any(concerns_callers);
+        changes.callers = delta.items.iter().any(affects_callers);
         Ok(changes)
     }
 
-    /// Sets the items of a piece, without regard to the revision.
+    /// Sets the items of a piece, regardless of the revision.
     pub(crate) fn set_items(&mut self, items: &[CatalogItem]) {
         let mut changes = CopyChanges::default();
         for item in items {
@@ -178,12 +178,13 @@
         }
     }
 
-    /// Names the revision that the items set so far amount to.
+    /// Sets the revision to which the items set so far amount.
     pub(crate) fn set_revision(&mut self, revision: CatalogRevision) {
         self.revision = revision;
     }
 
-    /// Drops what a whole snapshot doesn't list: it left while this copy wasn't listening.
+    /// Removes what a complete snapshot doesn't list, because it was removed while this copy missed
+    /// deltas.
     fn drop_unlisted(&mut self, items: &[CatalogItem], changes: &mut CopyChanges) {
         let listed: BTreeSet<&VmName> = items
             .iter()
@@ -279,7 +280,7 @@
     }
 }
 
-fn concerns_callers(item: &CatalogItem) -> bool {
+fn affects_callers(item: &CatalogItem) -> bool {
     matches!(
         item,
         CatalogItem::Account(_)
--- a/crates/control/src/detector.rs
+++ b/crates/control/src/detector.rs
@@ -1,28 +1,29 @@
-//! When a primary is taken for dead.
+//! Failure detector for a group's primary.
 //!
-//! Load: a primary's machine is lost, its process dies or hangs, or a cut lies between it and its
-//! leaseholder. Suspecting it late prolongs the time in which no write lands; suspecting a slow one
-//! costs every caller a pause and makes the load worse. So three things are told apart, each with a
-//! patience of its own:
+//! A primary can fail in three ways: its machine is lost, its process dies or hangs, or a network
+//! partition separates it from its leaseholder. A late suspicion prolongs the time without writes;
+//! a suspicion of a primary that is merely slow pauses every caller and adds load. The detector
+//! therefore distinguishes three kinds of failure, each with a threshold of its own:
 //!
-//! - Nothing listens any more: a new connection is refused. Twice, one probe apart, is enough
-//!   ([`REFUSALS_NEEDED`]): an operating system that refuses is alive and sure of it.
-//! - Nothing answers at all: a new connection isn't even accepted for [`DEAD_SILENCE`]. On networks
-//!   with 3 ms and less one way, 450 ms leave room for a lost packet and its first retransmission,
-//!   which comes after 200 ms.
-//! - Connections are accepted, but no request is answered for [`HUNG_SILENCE`]. A process that is
-//!   slow answers a status request, which waits behind no statement, well within 700 ms; a hung one
-//!   never does. A wrong suspicion costs one promotion, some 50 ms; each longer wait is paid at every
-//!   hang.
+//! - A new connection is refused: no process listens. [`MIN_REFUSALS`] refusals, one probe apart,
+//!   suffice, because an operating system that refuses a connection is running and knows that
+//!   nothing listens.
+//! - A new connection isn't accepted for [`UNREACHABLE_TIMEOUT`]. With a one-way latency of at most
+//!   3 ms, 450 ms leave room for a lost packet and its first retransmission, which follows after
+//!   200 ms.
+//! - Connections are accepted, but no request is answered for [`UNRESPONSIVE_TIMEOUT`]. A slow
+//!   process answers a status request, which doesn't queue behind statements, well within 700 ms; a
+//!   hung process never does. A false suspicion costs one promotion (about 50 ms); a longer timeout
+//!   is paid at every hang.
 //!
-//! Whatever is seen, no primary is suspected that answers a new connection (then the open ones are
-//! dead, see [`PrimaryVerdict::OpenConnectionsDead`]), or that a standby can reach (then this VM is
-//! cut off, and the group is better led from there). A process that was itself suspended starts its
-//! patience anew, since it can't tell what it missed.
+//! A primary is never suspected while it answers a new connection (the open connections are dead,
+//! see [`PrimaryVerdict::OpenConnectionsDead`]) or while a standby can reach it (this VM is
+//! partitioned, and the standby should lead the group). If this process was suspended, the timeouts
+//! start again, because answers may have been missed.
 //!
-//! With a term committed, a majority fenced and a promotion answered in about 50 ms together, the
-//! time without a primary is about 0.3 s after a crash, 0.7 s after the loss of a machine and 1.0 s
-//! after a hang. These are sums of the constants, not measurements.
+//! Committing a term, fencing a majority and promoting an instance take about 50 ms together. By
+//! these constants, a group is without a primary for about 0.3 s after a crash, 0.7 s after the
+//! loss of a machine and 1.0 s after a hang. These are sums of the constants, not measurements.
 
 use crate::ClockTime;
 use ragwort_types::VmName;
@@ -30,87 +31,88 @@
 use std::fmt;
 use std::time::Duration;
 
-/// The time between probes on the open connection.
+/// Interval between probes on the open connection.
 pub const PROBE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The time after which an unanswered probe makes a new connection be tried and standbys be asked.
+/// Time without an answer after which a new connection is tried and the standbys are asked.
 pub const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// How often in a row a new connection has to be refused.
-pub const REFUSALS_NEEDED: u32 = 2;
+/// Consecutive refused connections after which a primary is suspected.
+pub const MIN_REFUSALS: u32 = 2;
 
-/// How long a primary that accepts no connection has to be silent.
-pub const DEAD_SILENCE: Duration = Duration::from_millis(450);
+/// Silence after which a primary that accepts no connection is suspected.
+pub const UNREACHABLE_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// How long a primary that accepts connections has to be silent.
-pub const HUNG_SILENCE: Duration = Duration::from_millis(700);
+/// Silence after which a primary that accepts connections but answers no request is suspected.
+pub const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// How long a standby's view is waited for.
-pub const STANDBY_PATIENCE: Duration = Duration::from_millis(200);
+/// Longest wait for the standbys' answers.
+pub const STANDBY_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The time between two ticks that tells that this process was itself suspended.
-pub const STALL_LIMIT: Duration = Duration::from_millis(250);
+/// Longest gap between two ticks; a longer one means that this process was itself suspended.
+pub const MAX_TICK_GAP: Duration = Duration::from_millis(250);
 
-/// Which connection a probe went through.
+/// The connection that a probe used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeView {
-    /// The connection that was open already.
+    /// The connection that was already open.
     OpenConnection,
     /// A connection that was opened for the probe.
     NewConnection,
 }
 
-/// What became of a probe so far; a late answer is reported whenever it comes.
+/// The result of a probe so far; a late answer is reported whenever it arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeOutcome {
     /// The primary's agent answered.
     Answered,
-    /// The connection was accepted; the answer is still awaited.
+    /// The connection was accepted, but no answer has arrived yet.
     Accepted,
     /// The connection was refused or reset.
     Refused,
-    /// Nothing came back in time.
+    /// No response arrived in time.
     Silent,
-    /// The watching VM had no descriptor, memory or port for a connection.
+    /// This VM had no descriptor, memory or port to open a connection.
     Untried,
 }
 
-/// A probe that is due.
+/// An action that the caller must carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DetectorAction {
-    /// Ask over the open connection.
+    /// Send a probe over the open connection.
     ProbeOpen,
-    /// Open a connection and ask over it.
+    /// Open a connection and send a probe over it.
     ProbeNew,
     /// Ask the standbys whether they reach the primary.
     AskStandbys,
 }
 
-/// What is known of the primary now.
+/// The detector's assessment of the primary.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PrimaryVerdict {
-    /// It answers.
+    /// The primary answers.
     Alive,
-    /// It answers on new connections only: every open one to it has to be replaced.
+    /// The primary answers on new connections only: all open connections to it must be replaced.
     OpenConnectionsDead,
-    /// It has been silent, but not for long enough, or not in every view.
+    /// The primary is silent, but not yet for long enough or not confirmed by the standbys.
     Doubtful,
-    /// It is silent here, but this standby reaches it: hand the group over.
+    /// The primary is silent here but reachable from this standby, to which the group should be
+    /// handed over.
     ReachableFrom(VmName),
-    /// It is taken for dead.
+    /// The primary is considered dead.
     Suspected(SuspicionGrounds),
 }
 
-/// Why a primary is taken for dead.
+/// The evidence for a suspicion.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SuspicionGrounds {
-    /// The time since its last answer in any view.
+    /// The time since the last answer on any connection.
     pub silent_for: Duration,
-    /// How the last new connection ended.
+    /// The result of the latest probe over a new connection.
     pub new_connection: ProbeOutcome,
-    /// The standbys that don't reach it either.
+    /// The standbys that can't reach the primary either.
     pub agreeing: SmallVec<[VmName; 2]>,
-    /// The standbys that didn't say.
+    /// The standbys that haven't answered.
     pub unheard: SmallVec<[VmName; 2]>,
 }
 
@@ -130,34 +132,36 @@
 #[derive(Clone, Debug)]
 struct StandbyView {
     vm: VmName,
-    /// What the standby said since the doubt began.
+    /// The standby's answer since the primary became doubtful; `None` if there is none yet.
     reachable: Option<bool>,
 }
 
-/// Watches one primary, from its leaseholder or from a standby.
+/// Failure detector for one primary, run by its leaseholder or by a standby.
 #[derive(Clone, Debug)]
 pub struct PrimaryDetector {
     last_tick: ClockTime,
     last_probe: ClockTime,
-    open_answered: ClockTime,
-    new_answered: Option<ClockTime>,
-    /// When the first new connection of the present doubt was tried.
-    doubt: Option<DoubtRecord>,
+    open_answered_at: ClockTime,
+    new_answered_at: Option<ClockTime>,
+    /// Present while the primary is doubtful.
+    doubt: Option<DoubtState>,
     standbys: SmallVec<[StandbyView; 2]>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct DoubtRecord {
-    /// When the doubt began and new connections were tried first.
+struct DoubtState {
+    /// When the primary became doubtful and the first new connection was tried.
     since: ClockTime,
     refusals: u32,
-    last: ProbeOutcome,
+    last_outcome: ProbeOutcome,
     accepted: bool,
 }
 
 impl PrimaryDetector {
-    /// Begins to watch a primary. `others` are the VMs whose views are asked for: the standbys, or
-    /// for a standby the leaseholder and the other standby.
+    /// Creates a detector for a primary.
+    ///
+    /// `others` are the VMs that are asked whether they reach the primary: for a leaseholder its
+    /// standbys, for a standby the leaseholder and the other standby.
     pub fn new(now: ClockTime, others: &[VmName]) -> Self {
         let view = |vm: &VmName| StandbyView {
             vm: vm.clone(),
@@ -166,16 +170,17 @@
         Self {
             last_tick: now,
             last_probe: now,
-            open_answered: now,
-            new_answered: None,
+            open_answered_at: now,
+            new_answered_at: None,
             doubt: None,
             standbys: others.iter().map(view).collect(),
         }
     }
 
-    /// Returns the probes that are due; called at least every [`PROBE_INTERVAL`].
+    /// Returns the actions that are due. The caller must call this at least every
+    /// [`PROBE_INTERVAL`].
     pub fn tick(&mut self, now: ClockTime) -> SmallVec<[DetectorAction; 3]> {
-        if now.since(self.last_tick) > STALL_LIMIT {
+        if now.since(self.last_tick) > MAX_TICK_GAP {
             self.restart(now);
         }
         self.last_tick = now;
@@ -185,7 +190,7 @@
         }
         self.last_probe = now;
         actions.push(DetectorAction::ProbeOpen);
-        if now.since(self.open_answered) < PROBE_TIMEOUT {
+        if now.since(self.open_answered_at) < PROBE_TIMEOUT {
             return actions;
         }
         self.begin_doubt(now);
@@ -194,18 +199,18 @@
         actions
     }
 
-    /// Takes what became of a probe.
+    /// Records the result of a probe.
     pub fn note_probe(&mut self, now: ClockTime, view: ProbeView, outcome: ProbeOutcome) {
         match (view, outcome) {
             (ProbeView::OpenConnection, ProbeOutcome::Answered) => {
-                self.open_answered = now;
+                self.open_answered_at = now;
                 self.end_doubt();
             }
-            // A reset tells at once what silence tells after a time-out.
+            // A reset connection is as conclusive as a timed-out probe.
             (ProbeView::OpenConnection, ProbeOutcome::Refused) => self.begin_doubt(now),
             (ProbeView::OpenConnection, _) => {}
             (ProbeView::NewConnection, ProbeOutcome::Answered) => {
-                self.new_answered = Some(now);
+                self.new_answered_at = Some(now);
                 self.end_doubt();
             }
             (ProbeView::NewConnection, ProbeOutcome::Untried) => self.note_untried(),
@@ -213,9 +218,9 @@
         }
     }
 
-    /// Takes a standby's answer to whether it reaches the primary, asked for at `asked`.
+    /// Records a standby's answer to the request, sent at `asked`, whether it reaches the primary.
     pub fn note_standby(&mut self, asked: ClockTime, vm: &VmName, reachable: bool) {
-        // What a standby saw before the primary fell silent here says nothing of it now.
+        // An answer from before the primary became doubtful here is obsolete.
         if self.doubt.is_none_or(|doubt| asked < doubt.since) {
             return;
         }
@@ -224,54 +229,57 @@
         }
     }
 
-    /// Returns what is known of the primary.
+    /// Returns the present assessment of the primary.
     pub fn verdict(&self, now: ClockTime) -> PrimaryVerdict {
         let Some(doubt) = self.doubt else {
             return self.verdict_without_doubt(now);
         };
         let reached = |view: &&StandbyView| view.reachable == Some(true);
-        if !self.is_silent_here(now, &doubt) {
+        if !self.is_silent_long_enough(now, &doubt) {
             return PrimaryVerdict::Doubtful;
         }
         if let Some(view) = self.standbys.iter().find(reached) {
             return PrimaryVerdict::ReachableFrom(view.vm.clone());
         }
         let unheard = self.names(|view| view.reachable.is_none());
-        if !unheard.is_empty() && now.since(doubt.since) < STANDBY_PATIENCE {
+        if !unheard.is_empty() && now.since(doubt.since) < STANDBY_TIMEOUT {
             return PrimaryVerdict::Doubtful;
         }
         PrimaryVerdict::Suspected(SuspicionGrounds {
             silent_for: now.since(self.last_answer()),
-            new_connection: doubt.last,
+            new_connection: doubt.last_outcome,
             agreeing: self.names(|view| view.reachable == Some(false)),
             unheard,
         })
     }
 
     fn verdict_without_doubt(&self, now: ClockTime) -> PrimaryVerdict {
-        let open_silent = now.since(self.open_answered) >= PROBE_TIMEOUT;
-        match self.new_answered {
-            Some(answered) if open_silent && answered > self.open_answered => {
+        let open_silent = now.since(self.open_answered_at) >= PROBE_TIMEOUT;
+        match self.new_answered_at {
+            Some(answered) if open_silent && answered > self.open_answered_at => {
                 PrimaryVerdict::OpenConnectionsDead
             }
             _ => PrimaryVerdict::Alive,
         }
     }
 
-    /// Says whether the primary has been silent for as long as its kind of silence needs.
-    fn is_silent_here(&self, now: ClockTime, doubt: &DoubtRecord) -> bool {
+    /// Returns whether the primary has been silent for the time that its kind of failure requires.
+    fn is_silent_long_enough(&self, now: ClockTime, doubt: &DoubtState) -> bool {
         let silent_for = now.since(self.last_answer());
         if doubt.accepted {
-            return silent_for >= HUNG_SILENCE;
+            return silent_for >= UNRESPONSIVE_TIMEOUT;
         }
-        let refused = doubt.refusals >= REFUSALS_NEEDED;
-        let tried = !matches!(doubt.last, ProbeOutcome::Answered | ProbeOutcome::Untried);
-        refused || (tried && silent_for >= DEAD_SILENCE)
+        let refused = doubt.refusals >= MIN_REFUSALS;
+        let tried = !matches!(
+            doubt.last_outcome,
+            ProbeOutcome::Answered | ProbeOutcome::Untried
+        );
+        refused || (tried && silent_for >= UNREACHABLE_TIMEOUT)
     }
 
     fn last_answer(&self) -> ClockTime {
-        self.open_answered
-            .max(self.new_answered.unwrap_or_default())
+        self.open_answered_at
+            .max(self.new_answered_at.unwrap_or_default())
     }
 
     fn names(&self, wanted: impl Fn(&StandbyView) -> bool) -> SmallVec<[VmName; 2]> {
@@ -283,10 +291,10 @@
         if self.doubt.is_some() {
             return;
         }
-        self.doubt = Some(DoubtRecord {
+        self.doubt = Some(DoubtState {
             since: now,
             refusals: 0,
-            last: ProbeOutcome::Silent,
+            last_outcome: ProbeOutcome::Silent,
             accepted: false,
         });
         for view in &mut self.standbys {
@@ -300,7 +308,7 @@
 
     fn note_untried(&mut self) {
         if let Some(doubt) = &mut self.doubt {
-            doubt.last = ProbeOutcome::Untried;
+            doubt.last_outcome = ProbeOutcome::Untried;
         }
     }
 
@@ -309,20 +317,21 @@
         let Some(doubt) = &mut self.doubt else {
             return;
         };
-        doubt.last = outcome;
+        doubt.last_outcome = outcome;
         match outcome {
             ProbeOutcome::Refused => doubt.refusals += 1,
             ProbeOutcome::Accepted => doubt.accepted = true,
             ProbeOutcome::Silent | ProbeOutcome::Answered | ProbeOutcome::Untried => {}
         }
-        // A process that accepted and then went away refuses; its death needs no more patience.
-        if doubt.refusals >= REFUSALS_NEEDED {
+        // The process accepted a connection and has since ended, so the longer timeout of a hung
+        // process doesn't apply.
+        if doubt.refusals >= MIN_REFUSALS {
             doubt.accepted = false;
         }
     }
 
     fn restart(&mut self, now: ClockTime) {
-        self.open_answered = now;
+        self.open_answered_at = now;
         self.doubt = None;
     }
 }
--- a/crates/control/src/documents.rs
+++ b/crates/control/src/documents.rs
@@ -1,8 +1,8 @@
-//! How the catalog takes a whole configuration.
+//! Application of configuration documents to the catalog.
 //!
-//! Operators race each other with whole configurations, and resend one after its answer was lost.
-//! The highest version wins, whichever arrives last: a document that isn't newer changes nothing
-//! and is answered as accepted, because its operator can't do anything better than that.
+//! Operators may send documents concurrently, and resend one after its answer was lost. The highest
+//! version wins, whichever arrives last: a document that isn't newer changes nothing and is
+//! answered as accepted, because its operator needn't act.
 
 use crate::catalog::CatalogState;
 use crate::catalog::StampedItem;
@@ -17,9 +17,9 @@
 use ragwort_types::GroupTerms;
 use std::collections::BTreeSet;
 
-/// The most retired contracts that are remembered for deltas; a member that missed more gets a
-/// whole snapshot. A member that misses a thousand retired contracts was away for hours.
-const MOST_RETIRED: usize = 1_024;
+/// Largest number of retired contracts that are kept for deltas; a member that missed more gets a
+/// complete snapshot. A member that missed a thousand of them was disconnected for hours.
+const MAX_RETIRED_CONTRACTS: usize = 1_024;
 
 impl CatalogState {
     /// Returns the document in force.
@@ -32,7 +32,7 @@
         self.terms.get(group).map(|terms| &terms.item)
     }
 
-    /// Takes a document, unless one with a version at least as high is in force.
+    /// Applies a document, unless one with at least the same version is in force.
     pub(crate) fn apply_document(
         &mut self,
         revision: CatalogRevision,
@@ -62,8 +62,8 @@
 
     /// Puts the document's contracts in force and retires all others.
     ///
-    /// A contract that stays as it was isn't touched, so that a change of one contract among 1,400
-    /// travels to the members as one item.
+    /// Unchanged contracts aren't touched, so that a change of one contract among 1,400 reaches the
+    /// members as one item.
     fn replace_contracts(&mut self, revision: CatalogRevision, document: &ContractDocument) {
         let listed: BTreeSet<&CustomerName> = document
             .contracts
@@ -96,7 +96,7 @@
         }
         self.retired.insert(customer.clone(), revision);
         self.note_change(revision, None, CatalogKey::Retired(customer));
-        while self.retired.len() > MOST_RETIRED {
+        while self.retired.len() > MAX_RETIRED_CONTRACTS {
             let oldest = self.retired.iter().min_by_key(|(_, stamp)| **stamp);
             let Some((customer, stamp)) = oldest else {
                 return;
@@ -115,8 +115,8 @@
 
     /// Sets the terms of the document's groups.
     ///
-    /// The terms of a group that a document leaves out stay: no contract names the group any more,
-    /// and its open transactions still end by them.
+    /// The terms of a group that the document omits stay: no contract names the group any more, but
+    /// its open transactions still end according to them.
     fn replace_terms(&mut self, revision: CatalogRevision, groups: &[GroupTerms]) {
         for terms in groups {
             if self.group_terms(&terms.group) == Some(terms) {
--- a/crates/control/src/followers.rs
+++ b/crates/control/src/followers.rs
@@ -1,18 +1,19 @@
-//! Which instances were told to follow the present primary.
+//! Orders to follow the present primary, and their confirmations.
 
 use crate::ClockTime;
 use ragwort_types::InstanceName;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The shortest time between two requests to follow, to one instance.
-pub(crate) const FOLLOW_INTERVAL: Duration = Duration::from_millis(200);
+/// Shortest time between two orders to one instance.
+pub(crate) const MIN_FOLLOW_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The time after which an instance that follows is told again, as it may have restarted and
-/// forgotten. Seconds don't matter here: the group is served meanwhile.
+/// Time after which the order is repeated to an instance that confirmed it, because the instance
+/// may have restarted and lost its role. The group is served meanwhile, so two seconds are soon
+/// enough.
 pub(crate) const FOLLOW_REFRESH: Duration = Duration::from_secs(2);
 
-/// The instances that were told to follow, and when.
+/// The instances that were ordered to follow, with the time of the order.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FollowerTable {
     followers: BTreeMap<InstanceName, FollowProgress>,
@@ -20,7 +21,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct FollowProgress {
-    asked: ClockTime,
+    asked_at: ClockTime,
     confirmed: bool,
 }
 
@@ -29,17 +30,18 @@
         self.followers.clear();
     }
 
-    /// Notes that an instance is told now, unless it was told a moment ago.
-    pub(crate) fn ask(&mut self, now: ClockTime, instance: &InstanceName) -> bool {
+    /// Records an order to an instance and returns whether it may be sent: not within
+    /// [`MIN_FOLLOW_INTERVAL`] of the previous one.
+    pub(crate) fn try_ask(&mut self, now: ClockTime, instance: &InstanceName) -> bool {
         let progress = self.followers.get(instance);
-        if progress.is_some_and(|progress| now.since(progress.asked) < FOLLOW_INTERVAL) {
+        if progress.is_some_and(|progress| now.since(progress.asked_at) < MIN_FOLLOW_INTERVAL) {
             return false;
         }
-        let asked = FollowProgress {
-            asked: now,
+        let request = FollowProgress {
+            asked_at: now,
             confirmed: false,
         };
-        self.followers.insert(instance.clone(), asked);
+        self.followers.insert(instance.clone(), request);
         true
     }
 
@@ -49,11 +51,11 @@
         }
     }
 
-    /// Says whether an instance confirmed lately that it follows.
+    /// Returns whether an instance confirmed an order within [`FOLLOW_REFRESH`].
     pub(crate) fn is_confirmed(&self, now: ClockTime, instance: &InstanceName) -> bool {
         let progress = self.followers.get(instance);
         progress.is_some_and(|progress| {
-            progress.confirmed && now.since(progress.asked) < FOLLOW_REFRESH
+            progress.confirmed && now.since(progress.asked_at) < FOLLOW_REFRESH
         })
     }
 }
--- a/crates/control/src/groups.rs
+++ b/crates/control/src/groups.rs
@@ -1,4 +1,4 @@
-//! How the catalog places groups, changes their instance sets and moves their terms on.
+//! Placement, instance sets and terms of groups in the catalog.
 
 use crate::catalog::CatalogState;
 use crate::catalog::StampedItem;
@@ -42,7 +42,7 @@
         CatalogOutcome::Done(revision)
     }
 
-    /// Says whether the placement names distinct present members only.
+    /// Returns whether the placement names only distinct members of the catalog.
     fn can_serve(&self, placement: &GroupPlacement) -> bool {
         let mut named = vec![&placement.leaseholder];
         named.extend(&placement.standbys);
@@ -82,7 +82,7 @@
             return CatalogOutcome::Stale;
         };
         let record = &former.item;
-        // A former leaseholder must not dispatch: its successor has read the journal already.
+        // A former leaseholder must not dispatch: its successor has already read the journal.
         if record.placement.epoch != mark.epoch {
             return CatalogOutcome::Stale;
         }
@@ -95,10 +95,10 @@
         CatalogOutcome::Done(revision)
     }
 
-    /// Issues a number that is higher than every one issued before: the entry's own index.
+    /// Issues a fencing token that is higher than all earlier ones: the index of the log entry.
     ///
-    /// A former leaseholder gets none. Its order to promote would otherwise be taken for newer than
-    /// its successor's, and the group would end with an instance that nobody sends writes to.
+    /// A former leaseholder gets none. Its order to promote would otherwise count as newer than its
+    /// successor's, and the group would end up with a primary that receives no writes.
     pub(crate) fn issue_token(
         &self,
         revision: CatalogRevision,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Keeps what a leaseholder knows of its endpoints. A former one's notes are of no use.
+    /// Records a leaseholder's view of its endpoints. That of a former leaseholder is refused.
     pub(crate) fn record_endpoints(
         &mut self,
         revision: CatalogRevision,
@@ -130,7 +130,7 @@
         }
         self.change_group(revision, &notes.group, |record| {
             record.endpoints = notes.endpoints.clone();
-            // A term that was reached once is never left for an earlier one.
+            // The recorded term never falls.
             if notes.term >= record.term {
                 record.term = notes.term;
                 record.primary = notes.primary.clone();
@@ -167,7 +167,7 @@
         if !former.item.instances.contains(&change.instance) {
             return CatalogOutcome::Done(former.stamp);
         }
-        // Without its primary or its last instance the set could promise nothing.
+        // A set without its primary or without instances could guarantee nothing.
         let is_primary = former.item.primary.as_ref() == Some(&change.instance);
         if is_primary || former.item.instances.len() == 1 {
             return CatalogOutcome::Stale;
@@ -178,10 +178,10 @@
         CatalogOutcome::Done(revision)
     }
 
-    /// Returns the group if its instance set may change under the change's epoch and term.
+    /// Returns the group if its instance set may change under the epoch and term of the change.
     ///
-    /// Between the start of a term and its primary the set stays as it is, so that the majority
-    /// that is being fenced is the majority that acknowledged. A group that never had a primary has
+    /// Between the start of a term and its primary the set is fixed, so that the majority that is
+    /// fenced intersects the majority that acknowledged. A group that never had a primary has
     /// acknowledged nothing yet.
     fn changeable_group(&self, change: &InstanceChange) -> Option<&StampedItem<GroupRecord>> {
         let former = self.groups.get(&change.group)?;
@@ -203,7 +203,7 @@
         if record.placement.epoch != start.epoch || record.instances.is_empty() {
             return CatalogOutcome::Stale;
         }
-        // Only one leaseholder speaks for an epoch, so this is its own command, sent again.
+        // An epoch has only one leaseholder, so this is its own command, sent again.
         let resent = record.term == start.term && record.term_epoch == start.epoch;
         if resent && record.primary.is_none() {
             return CatalogOutcome::Done(former.stamp);
@@ -228,9 +228,9 @@
             return CatalogOutcome::Stale;
         };
         let record = &former.item;
-        // A leaseholder of a later epoch can't know which instance its predecessor promoted in
-        // this term. If it recorded another one, the term would have two primaries. It has to
-        // begin a term of its own.
+        // A leaseholder of a later epoch can't know which instance its predecessor promoted in this
+        // term. If it recorded another one, the term would have two primaries, so it must begin a
+        // new term.
         let own_term = record.term == primary.term
             && record.term_epoch == primary.epoch
             && record.placement.epoch == primary.epoch;
@@ -254,9 +254,9 @@
     }
 }
 
-/// Says whether a primary was ever recorded for the group.
+/// Returns whether a primary was ever recorded for the group.
 ///
-/// A term's start carries the term's number, so it is zero only before the first.
+/// The start of a term contains the term's number, so it is zero only before the first.
 pub(crate) fn has_had_primary(record: &GroupRecord) -> bool {
     record.start.term > GroupTerm(0)
 }
--- a/crates/control/src/history.rs
+++ b/crates/control/src/history.rs
@@ -1,76 +1,77 @@
-//! When the primary was seen at which position, to bound the age of replicas' data.
+//! Samples of the primary's position over time, from which the age of replicas' data is bounded.
 
 use crate::ClockTime;
 use ragwort_types::LogPosition;
 use std::collections::VecDeque;
 
-/// The time that one kept sighting stands for, in microseconds.
+/// Length of the interval that one sample represents, in microseconds.
 ///
-/// It makes an age at most 10 ms too high, which is small beside the ages of contracts (hundreds of
-/// milliseconds).
-const SLOT_MICROS: u64 = 10_000;
+/// It makes an age at most 10 ms too high, which is small compared with the maximum ages in
+/// contracts (hundreds of milliseconds).
+const SAMPLE_INTERVAL_MICROS: u64 = 10_000;
 
-/// The most sightings that are kept: 82 seconds of a primary that writes in every slot. The age of
-/// a replica further behind isn't known, and it serves no reads.
-const LONGEST_HISTORY: usize = 8_192;
+/// Capacity: 82 seconds of a primary that writes in every interval. The age of a replica that is
+/// further behind is unknown, and it serves no reads.
+const MAX_SAMPLES: usize = 8_192;
 
-/// When the primary was seen at which position.
+/// The primary's positions, with the times at which they were observed.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct PositionHistory {
-    sightings: VecDeque<PrimarySighting>,
+pub(crate) struct PositionSamples {
+    samples: VecDeque<PositionSample>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct PrimarySighting {
-    /// When the status was last asked for: at that moment the primary was at most at the position.
-    asked: ClockTime,
-    /// When the first answer with this position came.
-    seen: ClockTime,
+struct PositionSample {
+    /// When the latest request that returned this position was sent; at that time the primary was
+    /// at most at this position.
+    sent: ClockTime,
+    /// When the first answer with this position arrived.
+    received: ClockTime,
     position: LogPosition,
 }
 
-impl PositionHistory {
-    /// Notes that the primary answered with a position, at `seen`, to a request sent at `asked`.
-    pub(crate) fn observe(&mut self, asked: ClockTime, seen: ClockTime, position: LogPosition) {
-        let sighting = PrimarySighting {
-            asked,
-            seen,
+impl PositionSamples {
+    /// Records that the primary returned a position, at `received`, to a request sent at `sent`.
+    pub(crate) fn observe(&mut self, sent: ClockTime, received: ClockTime, position: LogPosition) {
+        let sample = PositionSample {
+            sent,
+            received,
             position,
         };
-        // The first one stays: without it nothing were known of the age of an instance that stands there.
-        let joins = self.sightings.len() > 1;
-        match self.sightings.back_mut() {
-            // An answer that was overtaken says less than the one that is noted.
-            Some(last) if asked < last.asked || position < last.position => {}
-            Some(last) if last.position == position => last.asked = asked,
-            Some(last) if joins && last.slot() == sighting.slot() => *last = sighting,
-            _ => self.sightings.push_back(sighting),
+        // The first sample is never merged: an instance at its position would have no known age.
+        let may_merge = self.samples.len() > 1;
+        match self.samples.back_mut() {
+            // An answer that arrives out of order adds nothing to the recorded one.
+            Some(last) if sent < last.sent || position < last.position => {}
+            Some(last) if last.position == position => last.sent = sent,
+            Some(last) if may_merge && last.interval() == sample.interval() => *last = sample,
+            _ => self.samples.push_back(sample),
         }
-        if self.sightings.len() > LONGEST_HISTORY {
-            self.sightings.pop_front();
+        if self.samples.len() > MAX_SAMPLES {
+            self.samples.pop_front();
         }
     }
 
-    /// Returns the latest moment at which a position still covered the primary's.
-    pub(crate) fn last_covered(&self, position: LogPosition) -> Option<ClockTime> {
+    /// Returns the latest time at which a position still covered the primary's.
+    pub(crate) fn last_covered_at(&self, position: LogPosition) -> Option<ClockTime> {
         let covered = self
-            .sightings
-            .partition_point(|sighting| position.covers(sighting.position));
+            .samples
+            .partition_point(|sample| position.covers(sample.position));
         let last = covered.checked_sub(1)?;
-        self.sightings.get(last).map(|sighting| sighting.asked)
+        self.samples.get(last).map(|sample| sample.sent)
     }
 
-    /// Returns since when the primary has been seen beyond a position; `None` if it never was.
-    pub(crate) fn passed_since(&self, position: LogPosition) -> Option<ClockTime> {
+    /// Returns since when the primary has been observed beyond a position; `None` if it never was.
+    pub(crate) fn overtaken_since(&self, position: LogPosition) -> Option<ClockTime> {
         let covered = self
-            .sightings
-            .partition_point(|sighting| position.covers(sighting.position));
-        self.sightings.get(covered).map(|sighting| sighting.seen)
+            .samples
+            .partition_point(|sample| position.covers(sample.position));
+        self.samples.get(covered).map(|sample| sample.received)
     }
 }
 
-impl PrimarySighting {
-    fn slot(&self) -> u64 {
-        self.asked.0 / SLOT_MICROS
+impl PositionSample {
+    fn interval(&self) -> u64 {
+        self.sent.0 / SAMPLE_INTERVAL_MICROS
     }
 }
--- a/crates/control/src/journal.rs
+++ b/crates/control/src/journal.rs
@@ -1,18 +1,18 @@
-//! The journal of a group, as its leaseholder keeps and replicates it.
+//! The journal of a group, kept and replicated by its leaseholder.
 //!
-//! Load: a leaseholder dies while requests that must not repeat are running, and callers resend
-//! them to its successor. Without the journal the successor would run them a second time, and a
-//! grant would stand twice. So the key of each such request is held by *all* standbys of the epoch
-//! before the request is dispatched; any one survivor then knows every key.
+//! A leaseholder may die while requests that must not repeat are running, and callers resend them
+//! to its successor. Without the journal the successor would run them a second time. The key of
+//! each such request is therefore held by *all* standbys of the epoch before the request is
+//! dispatched, so that any one survivor knows every key.
 //!
-//! Waiting for a majority of the standbys only was ruled out: with two standbys a majority is one
-//! of them with the leaseholder, and the loss of those two would lose the key.
+//! A majority of the standbys isn't enough: with two standbys it would be one of them and the
+//! leaseholder, and the loss of these two would lose the key.
 
 use crate::keys::CLOCK_TOLERANCE_MS;
 use crate::keys::KEY_WINDOW_MS;
 use crate::keys::KeyState;
 use crate::keys::KeyTable;
-use crate::keys::keep_verdict;
+use crate::keys::retained_state;
 use crate::recovery::RecoveredJournal;
 use crate::sessions::SessionPositions;
 use ragwort_types::CustomerName;
@@ -35,32 +35,32 @@
 use smallvec::SmallVec;
 use std::collections::VecDeque;
 
-/// The most entries in one append.
-pub const LARGEST_APPEND: usize = 512;
+/// Largest number of entries in one append.
+pub const MAX_APPEND_ENTRIES: usize = 512;
 
-/// The most entries that are kept for a standby that lags behind; past it, the standby is sent the
-/// whole journal instead. A group's 300 keys a second fill it in half a minute, by when control has
-/// replaced a dead standby.
-pub const LONGEST_BACKLOG: usize = 8_192;
+/// Largest number of entries that are kept for a standby that lags; one that falls further behind
+/// is sent the whole journal. A group's 300 keys a second fill it in half a minute, by when control
+/// has replaced a dead standby.
+pub const MAX_BACKLOG_ENTRIES: usize = 8_192;
 
-/// What the journal says of a request key.
+/// The journal's answer to a request with a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyAdmission {
-    /// The key is new. The request may be dispatched once this entry is replicated.
+    /// The key is new. The request may be dispatched once the entry with this number is replicated.
     Fresh(u64),
-    /// The request runs now; its verdict will come.
+    /// The request is running and has no verdict yet.
     Running,
-    /// The request has this verdict.
+    /// The request has already been decided.
     Decided(RequestVerdict),
-    /// The request may have been dispatched by a former leaseholder.
+    /// A former leaseholder may have dispatched the request.
     MayHaveRun,
     /// The key is older than the window.
     Expired,
-    /// The key carries no readable time, or one in the future.
+    /// The key contains no readable time, or a time in the future.
     Malformed,
 }
 
-/// The journal of a group at its leaseholder.
+/// A group's journal at its leaseholder.
 #[derive(Clone, Debug)]
 pub struct GroupJournal {
     group: GroupName,
@@ -82,27 +82,29 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StandbyState {
-    /// The standby has to be sent the whole journal.
-    Lacking,
-    /// The whole journal was sent; it stands for the entries below this number.
-    Resetting(u64),
+    /// The standby must be sent the whole journal.
+    NeedsReset,
+    /// The whole journal was sent; it contains all entries below this number.
+    ResetSent(u64),
     /// The standby holds all entries below this number.
-    Holding(u64),
+    HoldsBelow(u64),
 }
 
 impl StandbyProgress {
-    fn held(&self) -> u64 {
+    fn held_below(&self) -> u64 {
         match self.state {
-            StandbyState::Holding(held) => held,
-            StandbyState::Lacking | StandbyState::Resetting(_) => 0,
+            StandbyState::HoldsBelow(held_below) => held_below,
+            StandbyState::NeedsReset | StandbyState::ResetSent(_) => 0,
         }
     }
 
-    /// Returns the number of the first entry that has to be kept for this standby.
+    /// Returns the number of the first entry that must be kept for this standby.
     fn needed_from(&self) -> Option<u64> {
         match self.state {
-            StandbyState::Lacking => None,
-            StandbyState::Resetting(sequence) | StandbyState::Holding(sequence) => Some(sequence),
+            StandbyState::NeedsReset => None,
+            StandbyState::ResetSent(sequence) | StandbyState::HoldsBelow(sequence) => {
+                Some(sequence)
+            }
         }
     }
 }
@@ -120,13 +122,13 @@
             backlog_start: 0,
             standbys: SmallVec::new(),
         };
-        journal.take_standbys(placement);
+        journal.reset_standbys(placement);
         journal
     }
 
-    /// Goes on under a new placement with the same leaseholder.
+    /// Continues under a new placement with the same leaseholder.
     ///
-    /// Every standby gets the whole journal under the new epoch before anything more counts as
+    /// Every standby receives the whole journal under the new epoch before anything more counts as
     /// replicated.
     pub fn adopt_placement(&mut self, placement: &GroupPlacement) {
         invariant!(
@@ -138,40 +140,41 @@
         );
         if placement.epoch > self.epoch {
             self.epoch = placement.epoch;
-            self.take_standbys(placement);
+            self.reset_standbys(placement);
         }
     }
 
-    fn take_standbys(&mut self, placement: &GroupPlacement) {
+    fn reset_standbys(&mut self, placement: &GroupPlacement) {
         let fresh = |vm: &VmName| StandbyProgress {
             vm: vm.clone(),
-            state: StandbyState::Lacking,
+            state: StandbyState::NeedsReset,
         };
         self.standbys = placement.standbys.iter().map(fresh).collect();
         self.trim_backlog();
     }
 
-    /// Returns the epoch that the journal is written under.
+    /// Returns the epoch under which the journal is written.
     pub fn epoch(&self) -> PlacementEpoch {
         self.epoch
     }
 
-    /// Says whether a later leaseholder has read the journal; nothing may be dispatched any more.
+    /// Returns whether a later leaseholder has read the journal; nothing may be dispatched from
+    /// then on.
     pub fn is_deposed(&self) -> bool {
         self.deposed
     }
 
-    /// Returns the number of keys that are held.
+    /// Returns the number of keys in the journal.
     pub fn key_count(&self) -> usize {
         self.keys.len()
     }
 
-    /// Returns the positions of sessions.
+    /// Returns the positions that sessions' reads must cover.
     pub fn sessions(&self) -> &SessionPositions {
         &self.sessions
     }
 
-    /// Decides about a request with a key; `unix_ms` is the wall clock.
+    /// Admits or rejects a request with a key; `unix_ms` is the wall clock.
     pub fn begin(
         &mut self,
         customer: &CustomerName,
@@ -184,22 +187,22 @@
         // A known key is answered even past the window, as long as it is known.
         match self.keys.get(customer, key) {
             Some(KeyState::Running(_)) => return KeyAdmission::Running,
-            Some(KeyState::Doubtful) => return KeyAdmission::MayHaveRun,
+            Some(KeyState::MayHaveRun) => return KeyAdmission::MayHaveRun,
             Some(KeyState::Decided(verdict)) => return KeyAdmission::Decided(verdict.clone()),
             None => {}
         }
-        // The time that a key was forgotten at is kept, because a wall clock that is set back would
-        // otherwise let a forgotten key pass for a fresh one.
-        let expired = made + KEY_WINDOW_MS < unix_ms || made < self.keys.forgotten_before();
+        // The time limit of forgotten keys is kept, because a forgotten key would pass for a new
+        // one after the wall clock is set back.
+        let expired = made + KEY_WINDOW_MS < unix_ms || made < self.keys.forgotten_before_ms();
         if expired {
             return KeyAdmission::Expired;
         }
-        // A key from the future would pass for fresh after a loss of the journal, though it was
-        // dispatched before.
+        // If a key from the future were dispatched and the journal then lost, the key would pass
+        // for a new one.
         if made > unix_ms + CLOCK_TOLERANCE_MS {
             return KeyAdmission::Malformed;
         }
-        if made < self.keys.lost_before() {
+        if made < self.keys.lost_before_ms() {
             return KeyAdmission::MayHaveRun;
         }
         let record = KeyRecord {
@@ -211,7 +214,8 @@
         KeyAdmission::Fresh(sequence)
     }
 
-    /// Says whether a running request's entry is replicated, so that it may be dispatched.
+    /// Returns whether a running request's entry is replicated, so that the request may be
+    /// dispatched.
     pub fn is_dispatchable(&self, customer: &CustomerName, key: RequestKey) -> bool {
         match self.keys.get(customer, key) {
             Some(KeyState::Running(sequence)) => self.is_replicated(*sequence),
@@ -219,12 +223,13 @@
         }
     }
 
-    /// Says once more, right before a request is sent, whether it may be.
+    /// Checks again, right before a request is sent, that it may be dispatched.
     ///
     /// # Panics
     ///
-    /// Panics in a debug build if the request isn't dispatchable: the caller had to wait for
-    /// [`is_replicated`](Self::is_replicated). A deposed journal only says no.
+    /// Panics in a debug build if the request isn't dispatchable: the caller must wait for
+    /// [`is_replicated`](Self::is_replicated). If the journal is deposed, it returns `false`
+    /// instead.
     pub fn confirm_dispatch(&self, customer: &CustomerName, key: RequestKey) -> bool {
         let ready = self.is_dispatchable(customer, key);
         invariant!(
@@ -234,12 +239,12 @@
         ready
     }
 
-    /// Notes the verdict of a request that had a key.
+    /// Records the verdict of a request that had a key.
     ///
-    /// A request that did not run is forgotten, so that the caller may come back with the same key.
+    /// A request that did not run is forgotten, so that the caller may resend it with the same key.
     pub fn decide(&mut self, customer: &CustomerName, key: RequestKey, verdict: &RequestVerdict) {
-        let verdict = match keep_verdict(verdict) {
-            Some(KeyState::Doubtful) => {
+        let verdict = match retained_state(verdict) {
+            Some(KeyState::MayHaveRun) => {
                 RequestVerdict::MayHaveRun(ragwort_types::DoubtCause::EarlierAttempt)
             }
             _ => verdict.clone(),
@@ -253,7 +258,8 @@
         self.push_entry(JournalEntry::KeyDecided(decision));
     }
 
-    /// Notes a session's write; it may be acknowledged once the returned entry is replicated.
+    /// Records a session's write. The write may be acknowledged once the entry with the returned
+    /// number is replicated.
     pub fn note_session(
         &mut self,
         customer: &CustomerName,
@@ -269,11 +275,12 @@
         self.push_entry(JournalEntry::SessionPosition(record))
     }
 
-    /// Forgets what is no longer needed: keys past the window, and sessions at positions that all
-    /// of the group's replicas have passed.
+    /// Discards keys past the window, and sessions at positions that all of the group's replicas
+    /// have passed.
     pub fn prune(&mut self, unix_ms: u64, passed_by_all: LogPosition) {
         self.keys.forget_expired(unix_ms);
-        // While the floor isn't known, what the replicas passed says nothing of lost sessions.
+        // While the floor is unknown, the replicas' positions don't bound the positions of lost
+        // sessions.
         let floor = self.sessions.floor();
         if floor.is_some_and(|floor| passed_by_all > floor) && !self.sessions.is_empty() {
             self.raise_session_floor(passed_by_all);
@@ -282,61 +289,62 @@
 
     /// Raises the position that all sessions' reads must cover.
     ///
-    /// After a loss of the journal the caller passes the primary's position, asked for after the
+    /// After a loss of the journal, the caller passes the primary's position, requested after the
     /// takeover; see [`SessionPositions::required`].
     pub fn raise_session_floor(&mut self, position: LogPosition) {
         self.sessions.raise_floor(position);
         self.push_entry(JournalEntry::SessionFloor(position));
     }
 
-    /// Says whether every standby of the epoch has got the whole journal in it.
+    /// Returns whether every standby of the epoch has received the whole journal.
     ///
-    /// The leaseholder then confirms the epoch in the agreed log, and dispatches only from then on:
-    /// its successor knows by that which copies are whole.
+    /// The leaseholder then confirms the epoch in the agreed log, and dispatches only after that:
+    /// the confirmation tells its successor which copies are complete.
     pub fn is_established(&self) -> bool {
-        let holds = |standby: &StandbyProgress| matches!(standby.state, StandbyState::Holding(_));
+        let holds =
+            |standby: &StandbyProgress| matches!(standby.state, StandbyState::HoldsBelow(_));
         !self.deposed && self.standbys.iter().all(holds)
     }
 
-    /// Says whether all standbys of the epoch hold an entry.
+    /// Returns whether all standbys of the epoch hold an entry.
     pub fn is_replicated(&self, sequence: u64) -> bool {
-        let holds = |standby: &StandbyProgress| standby.held() > sequence;
+        let holds = |standby: &StandbyProgress| standby.held_below() > sequence;
         !self.deposed && self.standbys.iter().all(holds)
     }
 
     /// Returns the number below which all entries are replicated.
     pub fn replicated_below(&self) -> u64 {
-        let held = self.standbys.iter().map(StandbyProgress::held);
-        held.min().unwrap_or(self.next_sequence())
+        let held_below = self.standbys.iter().map(StandbyProgress::held_below);
+        held_below.min().unwrap_or(self.next_sequence())
     }
 
-    /// Returns the append to send to a standby, or `None` if it holds everything.
+    /// Returns the next append for a standby, or `None` if it holds everything.
     ///
     /// The caller sends one append at a time to each standby and passes the reply to
-    /// [`receive_reply`](Self::receive_reply). An append without a reply is asked for again.
+    /// [`receive_reply`](Self::receive_reply). An append without a reply is requested again.
     pub fn next_append(&mut self, vm: &VmName) -> Option<JournalAppend> {
         let end = self.next_sequence();
         let standby = self.standbys.iter_mut().find(|standby| standby.vm == *vm)?;
         if self.deposed {
             return None;
         }
-        let StandbyState::Holding(held) = standby.state else {
-            standby.state = StandbyState::Resetting(end);
+        let StandbyState::HoldsBelow(held_below) = standby.state else {
+            standby.state = StandbyState::ResetSent(end);
             return Some(self.append(vm, end, true, self.to_entries()));
         };
-        let skipped = usize::try_from(held - self.backlog_start).ok()?;
-        let lacking = self.backlog.iter().skip(skipped).take(LARGEST_APPEND);
-        let entries: Vec<JournalEntry> = lacking.cloned().collect();
-        (!entries.is_empty()).then(|| self.append(vm, held, false, entries))
+        let skipped = usize::try_from(held_below - self.backlog_start).ok()?;
+        let missing = self.backlog.iter().skip(skipped).take(MAX_APPEND_ENTRIES);
+        let entries: Vec<JournalEntry> = missing.cloned().collect();
+        (!entries.is_empty()).then(|| self.append(vm, held_below, false, entries))
     }
 
-    /// Takes a standby's reply to an append that was sent under `epoch`.
+    /// Processes a standby's reply to an append that was sent under `epoch`.
     pub fn receive_reply(&mut self, vm: &VmName, epoch: PlacementEpoch, reply: JournalReply) {
         if let JournalReply::StaleEpoch(known) = reply {
             self.deposed |= known > self.epoch;
             return;
         }
-        // A reply from before the present epoch says nothing of what the standby holds in it.
+        // A reply under another epoch doesn't show what the standby holds in the present one.
         if epoch != self.epoch {
             return;
         }
@@ -345,15 +353,17 @@
             return;
         };
         standby.state = match reply {
-            JournalReply::Held(held) if range.contains(&held) => StandbyState::Holding(held),
-            // What follows the standby's last entry isn't kept any more.
-            JournalReply::Held(_) | JournalReply::Gap => StandbyState::Lacking,
+            JournalReply::Held(held_below) if range.contains(&held_below) => {
+                StandbyState::HoldsBelow(held_below)
+            }
+            // The entries after the standby's last one are no longer kept.
+            JournalReply::Held(_) | JournalReply::Gap => StandbyState::NeedsReset,
             JournalReply::StaleEpoch(_) => standby.state,
         };
         self.trim_backlog();
     }
 
-    /// Hands the journal to a later leaseholder and stops serving.
+    /// Returns the journal's contents; if the request is of a later epoch, the journal is deposed.
     pub fn read(&mut self, request: &JournalRequest) -> JournalCopy {
         self.deposed |= request.epoch > self.epoch;
         JournalCopy {
@@ -370,19 +380,19 @@
     fn push_entry(&mut self, entry: JournalEntry) -> u64 {
         let sequence = self.next_sequence();
         self.backlog.push_back(entry);
-        if self.backlog.len() > LONGEST_BACKLOG {
-            self.give_up_backlog();
+        if self.backlog.len() > MAX_BACKLOG_ENTRIES {
+            self.reset_slowest_standbys();
         }
         self.trim_backlog();
         sequence
     }
 
-    /// Marks the standbys that are furthest behind for a reset, so that the backlog stays bounded.
-    fn give_up_backlog(&mut self) {
-        let half = self.backlog_start + (LONGEST_BACKLOG / 2) as u64;
+    /// Marks the standbys that are furthest behind for a reset, which bounds the backlog.
+    fn reset_slowest_standbys(&mut self) {
+        let half = self.backlog_start + (MAX_BACKLOG_ENTRIES / 2) as u64;
         for standby in &mut self.standbys {
             if standby.needed_from().is_some_and(|needed| needed < half) {
-                standby.state = StandbyState::Lacking;
+                standby.state = StandbyState::NeedsReset;
             }
         }
     }
--- a/crates/control/src/keys.rs
+++ b/crates/control/src/keys.rs
@@ -1,8 +1,8 @@
-//! The keys of requests that run at most once.
+//! Keys of requests that run at most once.
 //!
-//! A key carries the time at which its caller made it. Keys older than the window are refused, so
-//! the table holds no more than the window's keys, and a refused key can't run a second time after
-//! its record is gone.
+//! A key contains the time at which its caller made it. Keys older than the window are refused, so
+//! the table holds only the window's keys, and a key whose record was discarded can't run a second
+//! time.
 
 use ragwort_types::CustomerName;
 use ragwort_types::DoubtCause;
@@ -14,95 +14,96 @@
 use ragwort_types::StatementAnswer;
 use std::collections::BTreeMap;
 
-/// How long a key is remembered, in milliseconds.
+/// Retention time of keys, in milliseconds.
 ///
-/// The longest deadline that a contract may set is as long, so a request can't outlive its key.
+/// It equals the longest deadline that a contract may set, so a request can't outlive its key.
 pub const KEY_WINDOW_MS: u64 = 600_000;
 
-/// How far the wall clocks of callers and VMs may differ, in milliseconds.
+/// Largest tolerated difference between the wall clocks of callers and VMs, in milliseconds.
 ///
-/// Clocks that are kept by the platform differ by milliseconds; two seconds also cover a leap
-/// second and a VM that was just resumed. A caller whose clock is further ahead is refused.
+/// Clocks kept by the platform differ by milliseconds; two seconds also cover a leap second and a
+/// VM that was just resumed. A request from a caller whose clock is further ahead is refused.
 pub const CLOCK_TOLERANCE_MS: u64 = 2_000;
 
-/// The largest answer that is kept for resends, in bytes of text.
+/// Size of the largest answer that is kept for resends, in bytes of text.
 ///
-/// A grant or an issue slip answers with a few values. A resend of a request whose answer was
-/// larger is told that it may have run, because a part of an answer must not pass for the whole.
-pub const LARGEST_KEPT_ANSWER: usize = 4_096;
+/// Requests with keys usually return a few values. A resend of a request with a larger answer is
+/// told that it may have run, because part of an answer must not pass for the whole.
+pub const MAX_KEPT_ANSWER_BYTES: usize = 4_096;
 
-/// What is known of a key.
+/// State of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum KeyState {
-    /// This process runs it; its journal entry has this number.
+    /// This process runs the request; its journal entry has this number.
     Running(u64),
-    /// It was dispatched by an earlier leaseholder, or its answer is not kept.
-    Doubtful,
-    /// It has its final verdict.
+    /// An earlier leaseholder dispatched the request, or its answer isn't kept.
+    MayHaveRun,
+    /// The request has its final verdict.
     Decided(RequestVerdict),
 }
 
-/// Keys order by their time first, as UUIDv7 does.
+/// A key of one customer. Keys are ordered by their time first, like UUIDv7.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct KeyName {
+struct QualifiedKey {
     key: RequestKey,
     customer: CustomerName,
 }
 
-/// The keys of one group's window.
+/// The keys of one group within the window.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct KeyTable {
-    keys: BTreeMap<KeyName, KeyState>,
-    /// Keys made before this time were forgotten; it never falls, though a wall clock may.
-    forgotten_before: u64,
-    /// Keys made before this time may be missing.
-    lost_before: u64,
+    keys: BTreeMap<QualifiedKey, KeyState>,
+    /// Keys made before this time were forgotten, in milliseconds since the Unix epoch. It never
+    /// falls, even if the wall clock is set back.
+    forgotten_before_ms: u64,
+    /// Keys made before this time may be missing, in milliseconds since the Unix epoch.
+    lost_before_ms: u64,
 }
 
 impl KeyTable {
     pub(crate) fn get(&self, customer: &CustomerName, key: RequestKey) -> Option<&KeyState> {
-        self.keys.get(&KeyName::new(customer, key))
+        self.keys.get(&QualifiedKey::new(customer, key))
     }
 
     pub(crate) fn set(&mut self, customer: &CustomerName, key: RequestKey, state: KeyState) {
-        self.keys.insert(KeyName::new(customer, key), state);
+        self.keys.insert(QualifiedKey::new(customer, key), state);
     }
 
     pub(crate) fn forget(&mut self, customer: &CustomerName, key: RequestKey) {
-        self.keys.remove(&KeyName::new(customer, key));
+        self.keys.remove(&QualifiedKey::new(customer, key));
     }
 
     pub(crate) fn len(&self) -> usize {
         self.keys.len()
     }
 
-    pub(crate) fn lost_before(&self) -> u64 {
-        self.lost_before
+    pub(crate) fn lost_before_ms(&self) -> u64 {
+        self.lost_before_ms
     }
 
     pub(crate) fn note_loss(&mut self, before_ms: u64) {
-        self.lost_before = self.lost_before.max(before_ms);
+        self.lost_before_ms = self.lost_before_ms.max(before_ms);
     }
 
-    pub(crate) fn forgotten_before(&self) -> u64 {
-        self.forgotten_before
+    pub(crate) fn forgotten_before_ms(&self) -> u64 {
+        self.forgotten_before_ms
     }
 
-    /// Takes over what a decision means for later resends.
+    /// Records what a decision means for later resends.
     pub(crate) fn decide(&mut self, decision: &KeyDecision) {
-        match keep_verdict(&decision.verdict) {
+        match retained_state(&decision.verdict) {
             Some(state) => self.set(&decision.customer, decision.key, state),
             None => self.forget(&decision.customer, decision.key),
         }
     }
 
-    /// Forgets the keys that every leaseholder refuses by now as too old, whatever its clock.
+    /// Discards the keys that every leaseholder now refuses as too old, whatever its clock.
     pub(crate) fn forget_expired(&mut self, unix_ms: u64) {
         let horizon = unix_ms.saturating_sub(KEY_WINDOW_MS + 2 * CLOCK_TOLERANCE_MS);
-        if horizon <= self.forgotten_before {
+        if horizon <= self.forgotten_before_ms {
             return;
         }
-        self.forgotten_before = horizon;
+        self.forgotten_before_ms = horizon;
         while let Some(entry) = self.keys.first_entry() {
             let made = entry.key().key.to_unix_millis().unwrap_or(0);
             if made >= horizon {
@@ -112,12 +113,13 @@
         }
     }
 
-    /// Applies an entry as a standby does, and says whether it belongs to this table.
+    /// Applies an entry as a standby does, and returns whether it is an entry about keys.
     pub(crate) fn apply_entry(&mut self, entry: &JournalEntry) -> bool {
         match entry {
             JournalEntry::KeyDispatched(record) => {
-                self.set(&record.customer, record.key, KeyState::Doubtful);
-                // The leaseholder refuses keys from the future, so a dispatched key tells the time.
+                self.set(&record.customer, record.key, KeyState::MayHaveRun);
+                // The leaseholder refuses keys from the future, so a dispatched key bounds the
+                // present time.
                 let made = record.key.to_unix_millis().unwrap_or(0);
                 self.forget_expired(made.saturating_sub(CLOCK_TOLERANCE_MS));
                 true
@@ -134,17 +136,17 @@
         }
     }
 
-    /// Writes the table as journal entries.
+    /// Converts the table to journal entries.
     pub(crate) fn to_entries(&self) -> Vec<JournalEntry> {
-        let lost = (self.lost_before > 0).then_some(JournalEntry::KeysLost(self.lost_before));
+        let lost = (self.lost_before_ms > 0).then_some(JournalEntry::KeysLost(self.lost_before_ms));
         let mut entries: Vec<JournalEntry> = lost.into_iter().collect();
         entries.extend(self.keys.iter().map(|(name, state)| name.to_entry(state)));
         entries
     }
 
-    /// Takes over what another copy knows; a decision counts more than a dispatch.
+    /// Merges another copy; a decision takes precedence over a dispatch.
     pub(crate) fn merge(&mut self, other: KeyTable) {
-        self.note_loss(other.lost_before);
+        self.note_loss(other.lost_before_ms);
         for (name, state) in other.keys {
             let decided = matches!(self.keys.get(&name), Some(KeyState::Decided(_)));
             if !decided {
@@ -154,7 +156,7 @@
     }
 }
 
-impl KeyName {
+impl QualifiedKey {
     fn new(customer: &CustomerName, key: RequestKey) -> Self {
         Self {
             key,
@@ -164,7 +166,7 @@
 
     fn to_entry(&self, state: &KeyState) -> JournalEntry {
         match state {
-            KeyState::Running(_) | KeyState::Doubtful => JournalEntry::KeyDispatched(KeyRecord {
+            KeyState::Running(_) | KeyState::MayHaveRun => JournalEntry::KeyDispatched(KeyRecord {
                 customer: self.customer.clone(),
                 key: self.key,
             }),
@@ -177,13 +179,14 @@
     }
 }
 
-/// Returns what is kept of a verdict; nothing if the request did not run and so may still run.
-pub(crate) fn keep_verdict(verdict: &RequestVerdict) -> Option<KeyState> {
+/// Returns the state that is kept for a verdict; `None` if the request did not run and so may still
+/// run.
+pub(crate) fn retained_state(verdict: &RequestVerdict) -> Option<KeyState> {
     match verdict {
         RequestVerdict::NotRun(_) => None,
-        RequestVerdict::MayHaveRun(DoubtCause::EarlierAttempt) => Some(KeyState::Doubtful),
-        RequestVerdict::Ran(answer) if text_size(answer) > LARGEST_KEPT_ANSWER => {
-            Some(KeyState::Doubtful)
+        RequestVerdict::MayHaveRun(DoubtCause::EarlierAttempt) => Some(KeyState::MayHaveRun),
+        RequestVerdict::Ran(answer) if text_size(answer) > MAX_KEPT_ANSWER_BYTES => {
+            Some(KeyState::MayHaveRun)
         }
         RequestVerdict::Ran(_) | RequestVerdict::MayHaveRun(_) => {
             Some(KeyState::Decided(verdict.clone()))
--- a/crates/control/src/lease.rs
+++ b/crates/control/src/lease.rs
@@ -1,12 +1,13 @@
-//! Members' leases: who may take work, and who is gone.
+//! Members' leases.
 //!
-//! A member may serve only while its lease runs, and control gives its groups to another only when
-//! the lease has surely ended. Without the lease, a leaseholder behind a cut would go on
-//! acknowledging while its successor does the same; users would see writes vanish.
+//! A member may serve only while its lease is valid, and control gives its groups to another member
+//! only after the lease has certainly ended. Without leases, a leaseholder behind a network
+//! partition would continue to acknowledge writes while its successor does too, and acknowledged
+//! writes would be lost.
 //!
-//! The two sides measure on their own monotonic clocks. The member counts from the moment it *sent*
-//! the heartbeat, control from the later moment it *received* it, so control's view of the lease
-//! always ends last, by [`DRIFT_DIVISOR`] more for clocks that don't run equally fast.
+//! Each side measures with its own monotonic clock. The member counts from the moment it *sent* the
+//! heartbeat, control from the later moment it *received* it, so that the lease always ends last in
+//! control's view. [`DRIFT_DIVISOR`] adds a margin for clocks of unequal speed.
 
 use crate::CatalogState;
 use crate::ClockTime;
@@ -23,12 +24,13 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Control waits this part of a lease longer than the lease, for clocks of unequal speed.
+/// Control waits longer than the lease by the lease divided by this number, for clocks of unequal
+/// speed.
 ///
-/// Disciplined clocks differ by at most 500 parts in a million; a hundredth is twenty times that.
+/// Disciplined clocks differ by at most 500 parts per million; a hundredth is twenty times that.
 pub const DRIFT_DIVISOR: u32 = 100;
 
-/// A member's own view of its lease.
+/// A lease from the view of the member that holds it.
 ///
 /// # Examples
 ///
@@ -60,11 +62,11 @@
         Self::default()
     }
 
-    /// Renews the lease from the moment the granted heartbeat was sent, and says whether it did.
+    /// Renews the lease from the moment at which the granted heartbeat was sent, and returns
+    /// whether it did.
     ///
-    /// A member whose copy of the catalog is still behind the grant isn't renewed. It would go on
-    /// under a replaced contract after operators were told that the new one is in force
-    /// everywhere.
+    /// A member whose copy of the catalog is older than the grant isn't renewed. It would continue
+    /// under a replaced contract after operators were told that the new one is in force everywhere.
     pub fn renew(&mut self, sent: ClockTime, grant: &LeaseGrant, held: CatalogRevision) -> bool {
         if self.superseded || held < grant.revision {
             return false;
@@ -74,17 +76,17 @@
         true
     }
 
-    /// Ends the lease for good: another process has joined under this VM's name.
+    /// Ends the lease permanently: another process has joined under this VM's name.
     pub fn supersede(&mut self) {
         self.superseded = true;
     }
 
-    /// Says whether the member may take work, dispatch and acknowledge now.
+    /// Returns whether the member may accept, dispatch and acknowledge requests now.
     pub fn is_valid(&self, now: ClockTime) -> bool {
         !self.superseded && now < self.end
     }
 
-    /// Returns the time for which the lease still runs.
+    /// Returns the remaining time of the lease.
     pub fn remaining(&self, now: ClockTime) -> Duration {
         match self.superseded {
             true => Duration::ZERO,
@@ -93,13 +95,13 @@
     }
 }
 
-/// What the control leader answers to one heartbeat.
+/// The control leader's answer to a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseDecision {
     /// Grant a lease of this length, with the delta that the member lacks.
     ///
-    /// The length is zero for a member that has failed to take a delta for a whole lease: it gets
-    /// the delta again, and a lease once it has confirmed it.
+    /// The length is zero for a member that has failed to apply a delta for a whole lease: it gets
+    /// the delta again, and a lease after it has confirmed the delta.
     Grant(Duration),
     /// The member isn't in the catalog yet, or is being removed.
     NotYet,
@@ -111,54 +113,56 @@
 struct HeartbeatRecord {
     member: MemberRecord,
     confirmed: CatalogRevision,
-    /// When control last granted this process a lease; `None` before the first.
-    granted: Option<ClockTime>,
-    heard: ClockTime,
-    /// Since when, and up to which revision, the member owes a confirmation.
-    owed: Option<OwedRevision>,
-    /// Whether its removal was proposed. A lease that is granted between the proposal and its
-    /// commit would outlive the member's place in the catalog.
-    condemned: bool,
+    /// When control last granted this process a lease; `None` before the first grant.
+    granted_at: Option<ClockTime>,
+    last_heartbeat: ClockTime,
+    /// The revision that the member has yet to confirm, and since when.
+    unconfirmed: Option<UnconfirmedRevision>,
+    /// Whether its removal was proposed. A lease granted between the proposal and its commit would
+    /// outlive the member's place in the catalog.
+    removal_proposed: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct OwedRevision {
+struct UnconfirmedRevision {
     revision: CatalogRevision,
     since: ClockTime,
 }
 
-/// The control leader's view of all leases.
+/// The control leader's table of all leases.
 ///
-/// It is made anew by each leader. The caller passes a heartbeat on only once a majority has confirmed,
-/// after the heartbeat came, that it leads, and it has applied the first entry of its own term.
+/// Each leader creates its own. The caller passes a heartbeat on only after a majority has
+/// confirmed, following the heartbeat's arrival, that this VM leads, and after it has applied the
+/// first entry of its own term.
 #[derive(Clone, Debug)]
 pub struct LeaseLedger {
     /// The longest lease.
     lease: Duration,
-    /// Leases that the former leader granted run for one lease from here on at most.
-    elected: ClockTime,
+    /// Leases granted by the former leader end at most one lease after this time.
+    elected_at: ClockTime,
     records: BTreeMap<VmName, HeartbeatRecord>,
     /// Later processes that wait for the end of their predecessor's lease.
     successors: BTreeMap<VmName, HeartbeatRecord>,
 }
 
 impl LeaseLedger {
-    /// Creates the ledger of a leader that was just elected.
+    /// Creates the table of a newly elected leader.
     ///
-    /// Leases granted by the former leader are unknown here. Nobody is declared gone until they
-    /// must have ended. A former leader may still send grants, but only for heartbeats that a majority
-    /// confirmed its leadership after, and so before this election; a member counts its lease from the
-    /// sending of the heartbeat. So each of them ends within one lease of the election.
+    /// Leases granted by the former leader are unknown here, so no member is removed before they
+    /// must have ended. A former leader may still send grants, but only for heartbeats after which
+    /// a majority confirmed its leadership, and so for heartbeats sent before this election. A
+    /// member counts its lease from the sending of the heartbeat, so each of these leases ends
+    /// within one lease of the election.
     pub fn new(now: ClockTime, lease: Duration) -> Self {
         Self {
             lease,
-            elected: now,
+            elected_at: now,
             records: BTreeMap::new(),
             successors: BTreeMap::new(),
         }
     }
 
-    /// Takes a heartbeat and decides whether the member gets a lease.
+    /// Records a heartbeat and decides whether the member gets a lease.
     pub fn receive(
         &mut self,
         now: ClockTime,
@@ -169,52 +173,52 @@
         if self.latest_incarnation(&id.vm, catalog) > id.incarnation {
             return LeaseDecision::Superseded;
         }
-        if !self.belongs_in_records(&heartbeat.member, catalog) {
-            self.note_heartbeat(now, heartbeat, HeartbeatSide::Successor);
+        if !self.has_no_predecessor(&heartbeat.member, catalog) {
+            self.note_heartbeat(now, heartbeat, ProcessRole::Successor);
             return LeaseDecision::NotYet;
         }
-        self.note_heartbeat(now, heartbeat, HeartbeatSide::Present);
+        self.note_heartbeat(now, heartbeat, ProcessRole::Current);
         let known = catalog.member(&id.vm).is_some_and(|known| known.id == *id);
-        // A new leader goes by the catalog, so nothing longer than what stands there is granted.
-        let noted = catalog.member(&id.vm).map(|noted| self.lease_of(noted));
-        let asked = self.lease_of(&heartbeat.member);
+        // A new leader knows only the length in the catalog, so nothing longer is granted.
+        let noted = catalog.member(&id.vm).map(|noted| self.lease_length(noted));
+        let asked = self.lease_length(&heartbeat.member);
         let lease = noted.map_or(asked, |noted| noted.min(asked));
         let Some(record) = self.records.get_mut(&id.vm) else {
             return LeaseDecision::NotYet;
         };
-        if !known || record.condemned {
+        if !known || record.removal_proposed {
             return LeaseDecision::NotYet;
         }
         record.grant(now, lease, catalog.revision())
     }
 
-    /// Returns the admissions and removals that are due, for the leader to propose.
+    /// Returns the admissions and removals that the leader must propose.
     ///
-    /// The same commands are listed until the catalog shows them done.
+    /// A command is returned until the catalog shows its effect.
     pub fn due_commands(&mut self, now: ClockTime, catalog: &CatalogState) -> Vec<CatalogCommand> {
         self.promote_successors(catalog);
         let mut commands = Vec::new();
         for member in catalog.members() {
-            if self.is_gone(now, member) {
-                self.condemn(member, now);
+            if self.is_removal_due(now, member) {
+                self.mark_removal_proposed(member, now);
                 commands.push(CatalogCommand::RemoveMember(member.id.clone()));
             }
         }
         for record in self.records.values() {
-            let lease = self.lease_of(&record.member);
-            if record.wants_admission(now, lease, catalog) {
+            let lease = self.lease_length(&record.member);
+            if record.needs_admission(now, lease, catalog) {
                 commands.push(CatalogCommand::AdmitMember(record.member.clone()));
             }
         }
         commands
     }
 
-    /// Returns the members that were heard lately and so can be given groups.
+    /// Returns the members with a recent heartbeat, which can be given groups.
     pub fn live_members(&self, now: ClockTime, catalog: &CatalogState) -> BTreeSet<VmName> {
         let members = catalog.members();
         let live = members.filter(|member| match self.records.get(&member.id.vm) {
             Some(record) => {
-                record.is_live(now, self.lease_of(member)) && record.member.id == member.id
+                record.is_live(now, self.lease_length(member)) && record.member.id == member.id
             }
             None => false,
         });
@@ -226,10 +230,10 @@
         self.records.get(vm).map(|record| record.confirmed)
     }
 
-    /// Says whether every member whose lease may run has confirmed an accepted change.
+    /// Returns whether every member whose lease may be valid has confirmed an accepted change.
     ///
-    /// A member that hasn't confirmed it and isn't heard stops by itself when its lease ends, and
-    /// isn't waited for any longer than that.
+    /// A silent member that hasn't confirmed it stops when its lease ends, and isn't waited for
+    /// longer than that.
     pub fn force_status(
         &self,
         acceptance: ContractAcceptance,
@@ -254,78 +258,74 @@
         record.is_some_and(|record| record.member.id == member.id && record.confirmed >= revision)
     }
 
-    /// Says whether a member's lease has surely ended, on the member's clock too.
+    /// Returns whether a member's lease has certainly ended, by the member's clock too.
     fn has_ended(&self, now: ClockTime, member: &MemberRecord) -> bool {
-        let lease = self.lease_of(member);
+        let lease = self.lease_length(member);
         let whole = lease + lease / DRIFT_DIVISOR;
-        if now < self.elected + whole {
+        if now < self.elected_at + whole {
             return false;
         }
         let record = self.records.get(&member.id.vm);
         let own = record.filter(|record| record.member.id == member.id);
-        match own.and_then(|record| record.granted) {
-            Some(granted) => now >= granted + whole,
+        match own.and_then(|record| record.granted_at) {
+            Some(granted_at) => now >= granted_at + whole,
             None => true,
         }
     }
 
     /// Returns the length of the leases that a member may hold.
-    fn lease_of(&self, member: &MemberRecord) -> Duration {
+    fn lease_length(&self, member: &MemberRecord) -> Duration {
         match member.lease_ms {
             0 => self.lease,
             asked => Duration::from_millis(asked).min(self.lease),
         }
     }
 
-    /// Says whether a member is to be removed: its lease has ended and it isn't heard.
+    /// Returns whether a member must be removed: its lease has ended and it sends no heartbeats.
     ///
-    /// A member that is heard but had no lease granted yet, as right after its admission, stays.
-    fn is_gone(&self, now: ClockTime, member: &MemberRecord) -> bool {
+    /// A member that sends heartbeats but hasn't been granted a lease yet, as right after its
+    /// admission, stays.
+    fn is_removal_due(&self, now: ClockTime, member: &MemberRecord) -> bool {
         let superseded = self.successors.contains_key(&member.id.vm);
         let record = self.records.get(&member.id.vm);
-        let heard = record.is_some_and(|record| {
+        let has_live_process = record.is_some_and(|record| {
             record.member.id == member.id
-                && record.is_live(now, self.lease_of(member))
-                && !record.condemned
+                && record.is_live(now, self.lease_length(member))
+                && !record.removal_proposed
         });
-        self.has_ended(now, member) && (superseded || !heard)
+        self.has_ended(now, member) && (superseded || !has_live_process)
     }
 
-    fn condemn(&mut self, member: &MemberRecord, now: ClockTime) {
+    fn mark_removal_proposed(&mut self, member: &MemberRecord, now: ClockTime) {
         let record = self.records.entry(member.id.vm.clone());
         let record = record.or_insert_with(|| HeartbeatRecord::new(member.clone(), now));
         if record.member.id == member.id {
-            record.condemned = true;
+            record.removal_proposed = true;
         }
     }
 
-    /// Returns the latest incarnation of a VM that is known.
+    /// Returns the latest known incarnation of a VM.
     pub fn latest_incarnation(&self, vm: &VmName, catalog: &CatalogState) -> VmIncarnation {
         let known = catalog.member(vm).map(|member| member.id.incarnation);
         let record = self.records.get(vm);
-        let heard = record.map(|record| record.member.id.incarnation);
+        let current = record.map(|record| record.member.id.incarnation);
         let successor = self.successors.get(vm);
         let next = successor.map(|record| record.member.id.incarnation);
-        known.max(heard).max(next).unwrap_or_default()
+        known.max(current).max(next).unwrap_or_default()
     }
 
-    /// Says whether no earlier process stands between this one and a lease.
-    fn belongs_in_records(&self, member: &MemberRecord, catalog: &CatalogState) -> bool {
+    /// Returns whether no earlier process of the VM must be removed before this one gets a lease.
+    fn has_no_predecessor(&self, member: &MemberRecord, catalog: &CatalogState) -> bool {
         match catalog.member(&member.id.vm) {
             Some(known) => known.id == member.id || member.succeeds_at_once(known),
             None => true,
         }
     }
 
-    fn note_heartbeat(
-        &mut self,
-        now: ClockTime,
-        heartbeat: &HeartbeatRequest,
-        side: HeartbeatSide,
-    ) {
-        let records = match side {
-            HeartbeatSide::Present => &mut self.records,
-            HeartbeatSide::Successor => &mut self.successors,
+    fn note_heartbeat(&mut self, now: ClockTime, heartbeat: &HeartbeatRequest, role: ProcessRole) {
+        let records = match role {
+            ProcessRole::Current => &mut self.records,
+            ProcessRole::Successor => &mut self.successors,
         };
         let vm = heartbeat.member.id.vm.clone();
         let fresh = || HeartbeatRecord::new(heartbeat.member.clone(), now);
@@ -334,16 +334,16 @@
             *record = fresh();
         }
         record.member = heartbeat.member.clone();
-        record.heard = record.heard.max(now);
+        record.last_heartbeat = record.last_heartbeat.max(now);
         record.confirm(heartbeat.revision);
     }
 
-    /// Takes up later processes whose predecessor was removed, and forgets condemned processes that
-    /// the catalog has dropped, so that they can join again.
+    /// Promotes later processes whose predecessor was removed, and discards the records of removed
+    /// processes, so that they can join again.
     fn promote_successors(&mut self, catalog: &CatalogState) {
         let removed = |vm: &VmName| catalog.member(vm).is_none();
         self.records
-            .retain(|vm, record| !(record.condemned && removed(vm)));
+            .retain(|vm, record| !(record.removal_proposed && removed(vm)));
         let ready: Vec<VmName> = self
             .successors
             .keys()
@@ -358,8 +358,8 @@
     }
 }
 
-enum HeartbeatSide {
-    Present,
+enum ProcessRole {
+    Current,
     Successor,
 }
 
@@ -368,16 +368,18 @@
         Self {
             member,
             confirmed: CatalogRevision(0),
-            granted: None,
-            heard: now,
-            owed: None,
-            condemned: false,
+            granted_at: None,
+            last_heartbeat: now,
+            unconfirmed: None,
+            removal_proposed: false,
         }
     }
 
     fn confirm(&mut self, revision: CatalogRevision) {
         self.confirmed = self.confirmed.max(revision);
-        self.owed = self.owed.filter(|owed| owed.revision > self.confirmed);
+        self.unconfirmed = self
+            .unconfirmed
+            .filter(|unconfirmed| unconfirmed.revision > self.confirmed);
     }
 
     fn grant(
@@ -386,31 +388,34 @@
         lease: Duration,
         present: CatalogRevision,
     ) -> LeaseDecision {
-        if self.confirmed < present && self.owed.is_none() {
-            self.owed = Some(OwedRevision {
+        if self.confirmed < present && self.unconfirmed.is_none() {
+            self.unconfirmed = Some(UnconfirmedRevision {
                 revision: present,
                 since: now,
             });
         }
-        // A member that is heard but can't take deltas would keep a change from coming in force for
-        // good. Its lease ends instead.
-        if self.owed.is_some_and(|owed| now.since(owed.since) > lease) {
+        // A member that sends heartbeats but can't apply deltas would keep a change from coming
+        // into force indefinitely. Its lease ends instead.
+        if self
+            .unconfirmed
+            .is_some_and(|unconfirmed| now.since(unconfirmed.since) > lease)
+        {
             return LeaseDecision::Grant(Duration::ZERO);
         }
-        self.granted = Some(now);
+        self.granted_at = Some(now);
         LeaseDecision::Grant(lease)
     }
 
     fn is_live(&self, now: ClockTime, lease: Duration) -> bool {
-        now < self.heard + lease + lease / DRIFT_DIVISOR
+        now < self.last_heartbeat + lease + lease / DRIFT_DIVISOR
     }
 
-    fn wants_admission(&self, now: ClockTime, lease: Duration, catalog: &CatalogState) -> bool {
+    fn needs_admission(&self, now: ClockTime, lease: Duration, catalog: &CatalogState) -> bool {
         let known = catalog.member(&self.member.id.vm);
-        // A member that drained and left by itself is heard a moment longer. It must not rejoin.
+        // A member that drained and left sends a few more heartbeats. It must not rejoin.
         if known.is_none() && self.member.draining {
             return false;
         }
-        !self.condemned && self.is_live(now, lease) && known != Some(&self.member)
+        !self.removal_proposed && self.is_live(now, lease) && known != Some(&self.member)
     }
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,11 +1,12 @@
-//! Agreement, catalog, leases, placement, promotion and journal of ragwortgate, without I/O.
+//! State machines of ragwortgate for agreement, the catalog, leases, placement, failover and the
+//! request journal.
 //!
-//! Each module is a state machine: events and the present time go in, decisions come out. The
-//! daemon owns sockets, disks and clocks, and drives these machines.
+//! No module does I/O: a state machine takes events and the present time and returns decisions. The
+//! daemon owns sockets, disks and clocks, and drives the state machines.
 //!
 //! # Examples
 //!
-//! A member's copy of the catalog follows the agreed state by deltas:
+//! A member keeps its copy of the catalog up to date by deltas:
 //!
 //! ```
 //! use ragwort_control::CatalogCopy;
@@ -54,7 +55,6 @@
 mod documents;
 mod followers;
 mod groups;
-mod headless;
 mod history;
 mod journal;
 mod keys;
@@ -64,6 +64,7 @@
 mod pace;
 mod placement;
 mod positions;
+mod primary_absence;
 mod promotion;
 mod promotion_chart;
 mod promotion_message;
@@ -100,23 +101,20 @@
 pub use copy::CatalogCopy;
 pub use copy::CopyChanges;
 pub use copy::DeltaError;
-pub use detector::DEAD_SILENCE;
 pub use detector::DetectorAction;
-pub use detector::HUNG_SILENCE;
+pub use detector::MAX_TICK_GAP;
+pub use detector::MIN_REFUSALS;
 pub use detector::PROBE_INTERVAL;
 pub use detector::PROBE_TIMEOUT;
 pub use detector::PrimaryDetector;
 pub use detector::PrimaryVerdict;
 pub use detector::ProbeOutcome;
 pub use detector::ProbeView;
-pub use detector::REFUSALS_NEEDED;
-pub use detector::STALL_LIMIT;
-pub use detector::STANDBY_PATIENCE;
+pub use detector::STANDBY_TIMEOUT;
 pub use detector::SuspicionGrounds;
+pub use detector::UNREACHABLE_TIMEOUT;
+pub use detector::UNRESPONSIVE_TIMEOUT;
 pub use digest::digest_text;
-pub use headless::EndpointKnowledge;
-pub use headless::HEADLESS_TIME;
-pub use headless::HeadlessWatch;
 pub use invariant::broken_invariants;
 #[doc(hidden)]
 pub use invariant::count_broken_invariant;
@@ -124,22 +122,25 @@
 pub use journal::KeyAdmission;
 pub use keys::CLOCK_TOLERANCE_MS;
 pub use keys::KEY_WINDOW_MS;
-pub use keys::LARGEST_KEPT_ANSWER;
+pub use keys::MAX_KEPT_ANSWER_BYTES;
 pub use lease::DRIFT_DIVISOR;
 pub use lease::LeaseDecision;
 pub use lease::LeaseLedger;
 pub use lease::MemberLease;
 pub use native_roles::RoleBoard;
 pub use native_roles::RoleReport;
-pub use pace::LEASE_BEATS;
+pub use pace::HEARTBEATS_PER_LEASE;
 pub use pace::LeasePace;
-pub use placement::LOAD_PERCENT;
+pub use placement::LOAD_CAP_PERCENT;
 pub use placement::STANDBY_COUNT;
 pub use placement::load_cap;
 pub use placement::plan_approaches;
 pub use placement::plan_handovers;
 pub use placement::plan_placements;
 pub use positions::PositionHistory;
+pub use primary_absence::EndpointKnowledge;
+pub use primary_absence::HEADLESS_TIME;
+pub use primary_absence::HeadlessWatch;
 pub use promotion::GroupPromotion;
 pub use promotion_chart::PromotionEvent;
 pub use promotion_chart::PromotionGuard;
--- a/crates/control/src/members.rs
+++ b/crates/control/src/members.rs
@@ -1,4 +1,4 @@
-//! How the catalog takes up and drops members.
+//! Admission and removal of members in the catalog.
 
 use crate::catalog::CatalogState;
 use crate::catalog::StampedItem;
@@ -11,11 +11,11 @@
 use ragwort_types::MemberRecord;
 use ragwort_types::VmName;
 
-/// The most departed members that are remembered for deltas.
+/// Largest number of departed members that are kept for deltas.
 ///
-/// A member that missed more departures than this gets a whole snapshot. With 630 VMs it takes
-/// more than one departure of each to get there.
-const MOST_DEPARTURES: usize = 1_024;
+/// A member that missed more departures gets a complete snapshot. With 630 VMs, that takes more
+/// than one departure of each.
+const MAX_DEPARTURES: usize = 1_024;
 
 impl CatalogState {
     pub(crate) fn admit_member(
@@ -32,13 +32,13 @@
             (Some(former), _) if former.item == *member => {
                 return CatalogOutcome::Done(former.stamp);
             }
-            // The former process may still hold a lease and lead groups. Admitting its successor
-            // now would let two processes serve a group in one epoch, and both would acknowledge
-            // writes. The former process must be removed first, which waits for its lease's end.
+            // The former process may still hold a lease and lead groups. If its successor were
+            // admitted now, two processes could serve a group in one epoch and both acknowledge
+            // writes. The former process must be removed first, which waits for its lease to end.
             (Some(former), _) if former.item.id.incarnation != member.id.incarnation => {
                 return CatalogOutcome::Stale;
             }
-            // A heartbeat from before the drain, delayed on its way, must not undo the drain.
+            // A delayed heartbeat from before the drain must not undo the drain.
             (Some(former), _) if former.item.draining => return CatalogOutcome::Stale,
             (None, Some(departed)) if departed.item > member.id.incarnation => {
                 return CatalogOutcome::Stale;
@@ -63,10 +63,10 @@
 
     /// Raises the epochs of the groups that still name a returning VM.
     ///
-    /// The process that joins lacks the journal of the one before it. If it went on under the old
-    /// epoch, a resent request would run a second time. A new epoch makes a leaseholder recover the
-    /// journal from the standbys first, and makes a standby refuse appends that were meant for the
-    /// former process.
+    /// The process that joins lacks its predecessor's journal. If it continued under the old epoch,
+    /// a resent request would run a second time. Under a new epoch, a leaseholder recovers the
+    /// journal from the standbys first, and a standby refuses appends that were sent to the former
+    /// process.
     fn raise_held_epochs(&mut self, revision: CatalogRevision, vm: &VmName) {
         let names = |placement: &GroupPlacement| {
             placement.leaseholder == *vm || placement.standbys.contains(vm)
@@ -121,7 +121,7 @@
     }
 
     fn limit_departures(&mut self) {
-        while self.departures.len() > MOST_DEPARTURES {
+        while self.departures.len() > MAX_DEPARTURES {
             let oldest = self
                 .departures
                 .iter()
--- a/crates/control/src/native_roles.rs
+++ b/crates/control/src/native_roles.rs
@@ -1,9 +1,9 @@
-//! Which instance is the primary, where the databases themselves decide that.
+//! Roles of a group's instances where the databases themselves elect the primary.
 //!
-//! Roles reach the leaseholder by three ways that overtake each other: what instances announce of
-//! themselves, what they report when asked, and writes that they refuse. A former primary behind a
-//! cut goes on believing in itself. So the term decides: the claimant of the highest term that is
-//! known is the primary, and a claim whose term isn't known yet counts for nothing.
+//! The leaseholder learns roles from three sources that arrive in any order: announcements, replies
+//! to status requests, and refused writes. A former primary behind a network partition still
+//! considers itself the primary. The term therefore decides: the primary is the instance that
+//! claims to be it in the highest known term, and a claim with an unknown term is ignored.
 
 use crate::ClockTime;
 use ragwort_types::GroupTerm;
@@ -12,22 +12,22 @@
 use ragwort_types::LogPosition;
 use std::collections::BTreeMap;
 
-/// What an instance reported of itself when it was asked.
+/// An instance's report on itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RoleReport {
     /// Its role.
     pub role: InstanceRole,
-    /// The term that it belongs to.
+    /// The term to which it belongs.
     pub term: GroupTerm,
-    /// How far it has received the log.
+    /// The position up to which it has received the log.
     pub received: LogPosition,
 }
 
 #[derive(Clone, Debug)]
-struct InstanceView {
+struct InstanceClaim {
     role: InstanceRole,
-    /// When the role was last heard or reported.
-    heard: ClockTime,
+    /// When the role was last announced or reported.
+    updated_at: ClockTime,
     report: Option<RoleReport>,
     leaving: bool,
 }
@@ -35,29 +35,29 @@
 /// The roles of a group's instances.
 #[derive(Clone, Debug, Default)]
 pub struct RoleBoard {
-    instances: BTreeMap<InstanceName, InstanceView>,
+    instances: BTreeMap<InstanceName, InstanceClaim>,
     /// The highest term in which a primary was found.
-    reached: GroupTerm,
+    highest_term: GroupTerm,
 }
 
 impl RoleBoard {
-    /// Begins with the highest term that a former leaseholder has found a primary in.
+    /// Creates the roles with the highest term in which a former leaseholder found a primary.
     ///
-    /// A primary that was replaced and doesn't know it may be the first to answer a new
-    /// leaseholder. Writes sent to it would be lost with it; below this term it is not followed.
-    pub fn new(reached: GroupTerm) -> Self {
+    /// A replaced primary that doesn't know of its replacement may be the first to answer a new
+    /// leaseholder. Writes sent to it would be lost, so a primary of a lower term is ignored.
+    pub fn new(highest_term: GroupTerm) -> Self {
         Self {
             instances: BTreeMap::new(),
-            reached,
+            highest_term,
         }
     }
 
-    /// Takes in an instance that a former leaseholder knew: it is to be asked for its role.
+    /// Adds an instance that a former leaseholder knew, so that it is asked for its role.
     pub fn expect(&mut self, now: ClockTime, instance: &InstanceName, leaving: bool) {
         self.hear(now, instance, InstanceRole::Primary, leaving);
     }
 
-    /// Takes what an instance announces of itself.
+    /// Records an instance's announcement.
     pub fn hear(
         &mut self,
         now: ClockTime,
@@ -65,83 +65,85 @@
         role: InstanceRole,
         leaving: bool,
     ) {
-        let view = self.instances.entry(instance.clone());
-        let view = view.or_insert(InstanceView {
+        let claim = self.instances.entry(instance.clone());
+        let claim = claim.or_insert(InstanceClaim {
             role,
-            heard: now,
+            updated_at: now,
             report: None,
             leaving,
         });
-        // What it reported in its former role says nothing of the new one.
-        if view.role != role {
-            view.report = None;
+        // A report from its former role is obsolete.
+        if claim.role != role {
+            claim.report = None;
         }
-        view.role = role;
-        view.heard = now;
-        view.leaving = leaving;
+        claim.role = role;
+        claim.updated_at = now;
+        claim.leaving = leaving;
     }
 
-    /// Takes what an instance reported when it was asked.
+    /// Records an instance's reply to a request for its role.
     pub fn take_report(&mut self, now: ClockTime, instance: &InstanceName, report: RoleReport) {
-        if let Some(view) = self.instances.get_mut(instance) {
-            view.role = report.role;
-            view.heard = now;
-            view.report = Some(report);
+        if let Some(claim) = self.instances.get_mut(instance) {
+            claim.role = report.role;
+            claim.updated_at = now;
+            claim.report = Some(report);
         }
-        self.note_reached();
+        self.raise_highest_term();
     }
 
-    /// Notes that an instance refused a write: it isn't the primary, whatever it said before.
+    /// Records that an instance refused a write, and so is not the primary whatever it said before.
     pub fn see_refused_write(&mut self, now: ClockTime, instance: &InstanceName) {
-        if let Some(view) = self.instances.get_mut(instance) {
-            view.role = InstanceRole::Replica;
-            view.heard = now;
-            view.report = None;
+        if let Some(claim) = self.instances.get_mut(instance) {
+            claim.role = InstanceRole::Replica;
+            claim.updated_at = now;
+            claim.report = None;
         }
     }
 
-    /// Forgets an instance that isn't heard any more.
+    /// Removes an instance that no longer announces itself.
     pub fn forget(&mut self, instance: &InstanceName) {
         self.instances.remove(instance);
     }
 
-    /// Returns what an instance last reported of itself, in its present role.
+    /// Returns an instance's last report in its present role.
     pub fn report(&self, instance: &InstanceName) -> Option<RoleReport> {
         self.instances.get(instance)?.report
     }
 
     /// Returns the primary and its term.
     pub fn primary(&self) -> Option<(&InstanceName, GroupTerm)> {
-        let claims = self.instances.iter().filter_map(|(instance, view)| {
-            let report = view.report.filter(|_| view.role == InstanceRole::Primary)?;
+        let claims = self.instances.iter().filter_map(|(instance, claim)| {
+            let report = claim
+                .report
+                .filter(|_| claim.role == InstanceRole::Primary)?;
             Some((instance, report.term))
         });
         let best = claims.max_by_key(|(_, term)| *term)?;
-        (best.1 >= self.reached).then_some(best)
+        (best.1 >= self.highest_term).then_some(best)
     }
 
-    /// Says whether an instance claims to be the primary and hasn't been asked for its term.
+    /// Returns whether an instance claims to be the primary in a term that is still unknown.
     pub fn needs_report(&self, instance: &InstanceName) -> bool {
-        let view = self.instances.get(instance);
-        view.is_some_and(|view| view.role == InstanceRole::Primary && view.report.is_none())
+        let claim = self.instances.get(instance);
+        claim.is_some_and(|claim| claim.role == InstanceRole::Primary && claim.report.is_none())
     }
 
-    /// Says whether an instance wants no new work.
+    /// Returns whether an instance has announced that it is leaving and takes no new work.
     pub fn is_leaving(&self, instance: &InstanceName) -> bool {
         self.instances
             .get(instance)
-            .is_some_and(|view| view.leaving)
+            .is_some_and(|claim| claim.leaving)
     }
 
     /// Returns the highest term in which a primary was found.
-    pub fn reached_term(&self) -> GroupTerm {
-        self.reached
+    pub fn highest_primary_term(&self) -> GroupTerm {
+        self.highest_term
     }
 
-    fn note_reached(&mut self) {
+    fn raise_highest_term(&mut self) {
         let claims = self.instances.values();
-        let claims = claims.filter(|view| view.role == InstanceRole::Primary);
-        let terms = claims.filter_map(|view| Some(view.report?.term));
-        self.reached = terms.chain([self.reached]).max().unwrap_or_default();
+        let claims = claims.filter(|claim| claim.role == InstanceRole::Primary);
+        let terms = claims.filter_map(|claim| Some(claim.report?.term));
+        self.highest_term = terms.chain([self.highest_term]).max().unwrap_or_default();
     }
 }
--- a/crates/control/src/pace.rs
+++ b/crates/control/src/pace.rs
@@ -1,70 +1,67 @@
-//! How long a lease a member asks for.
+//! The length of the lease that a member requests.
 //!
-//! # The load it answers
+//! If a leaseholder's VM freezes or is partitioned, its groups aren't served until its lease has
+//! ended. At other times the same VM only pauses for a tenth of a second, because its processor is
+//! busy or its CPU quota is exhausted. One length for all members would be too long for the former
+//! case, or too short for the latter, in which members would stop serving without a fault.
 //!
-//! A leaseholder's VM freezes or is cut off, and its groups are served by nobody until its lease has
-//! ended. On another day the same VM only has pauses: a busy processor, a share of one that is used
-//! up for a tenth of a second.
-//!
-//! # Without it
-//!
-//! One length for all is too long for those whose silence stops a group, and too short for those that
-//! have pauses, which then stop serving though nothing is wrong.
-//!
-//! # Grounds for its figures
-//!
-//! A lease lasts for [`LEASE_BEATS`] heartbeats, so that two of them in a row may be lost. A VM whose
-//! own heartbeats took longer than that allows for asks for as much more. It never asks for less
-//! again, because a new control leader goes by what the catalog says of it, and a lease from before
-//! could outlast that. A leaseholder's shorter lease is gained by its groups' callers: it is how long
-//! they wait for a successor.
+//! A lease lasts [`HEARTBEATS_PER_LEASE`] heartbeat intervals, so that two consecutive heartbeats
+//! may be lost. A VM whose own heartbeats took longer than that allows requests a longer lease. It
+//! never returns to a shorter one, because a new control leader relies on the length in the
+//! catalog, and a lease granted before could outlast it. A short lease benefits the callers of a
+//! leaseholder's groups, who wait that long for a successor.
 
 use std::time::Duration;
 
-/// Heartbeats in a lease.
-pub const LEASE_BEATS: u32 = 4;
+/// Length of a lease, in heartbeat intervals.
+pub const HEARTBEATS_PER_LEASE: u32 = 4;
 
-/// Heartbeats in a lease that must be left when the slowest round that was seen is over.
-const SPARE_BEATS: u32 = 2;
+/// Heartbeat intervals of a lease that must remain after the slowest round trip that was observed.
+const SPARE_HEARTBEATS: u32 = 2;
 
-/// The lease that a member asks for.
+/// The lease that a member requests.
 #[derive(Clone, Copy, Debug)]
 pub struct LeasePace {
-    beat: Duration,
-    longest: Duration,
-    asked: Duration,
+    heartbeat_interval: Duration,
+    max_lease: Duration,
+    requested: Duration,
 }
 
 impl LeasePace {
-    /// Begins with what the time between heartbeats asks for; `longest` bounds it for good.
-    pub fn new(beat: Duration, longest: Duration) -> Self {
+    /// Starts with the length for a heartbeat interval; `max_lease` is its permanent upper limit.
+    pub fn new(heartbeat_interval: Duration, max_lease: Duration) -> Self {
         Self {
-            beat,
-            longest,
-            asked: (beat * LEASE_BEATS).min(longest),
+            heartbeat_interval,
+            max_lease,
+            requested: (heartbeat_interval * HEARTBEATS_PER_LEASE).min(max_lease),
         }
     }
 
-    /// Returns the lease to ask for.
+    /// Returns the length to request.
     pub fn lease(&self) -> Duration {
-        self.asked
+        self.requested
     }
 
-    /// Notes how long a heartbeat took from its sending until its grant was taken, and says whether the
-    /// lease to ask for has grown.
+    /// Records the time from the sending of a heartbeat until its grant was processed, and returns
+    /// whether the length to request has grown.
     ///
-    /// What takes longer than the longest lease is no pause that a lease could cover.
+    /// A time above the upper limit is ignored, because no lease could cover it.
     pub fn note_round(&mut self, took: Duration) -> bool {
-        if took >= self.longest {
+        if took >= self.max_lease {
             return false;
         }
-        let beats = took.as_micros().div_ceil(self.beat.as_micros().max(1));
-        let beats = u32::try_from(beats)
+        let heartbeats = took
+            .as_micros()
+            .div_ceil(self.heartbeat_interval.as_micros().max(1));
+        let heartbeats = u32::try_from(heartbeats)
             .unwrap_or(u32::MAX)
-            .saturating_add(SPARE_BEATS);
-        let needed = self.beat.saturating_mul(beats).min(self.longest);
-        let grows = needed > self.asked;
-        self.asked = self.asked.max(needed);
+            .saturating_add(SPARE_HEARTBEATS);
+        let needed = self
+            .heartbeat_interval
+            .saturating_mul(heartbeats)
+            .min(self.max_lease);
+        let grows = needed > self.requested;
+        self.requested = self.requested.max(needed);
         grows
     }
 }
--- a/crates/control/src/placement.rs
+++ b/crates/control/src/placement.rs
@@ -1,20 +1,20 @@
-//! Which VM serves which group.
+//! Placement of groups on VMs.
 //!
-//! Load: a VM is lost or drained, VMs join, and new groups announce themselves. Without a rule that
-//! every control leader computes alike, groups would move more often than their VMs change, and
-//! each move costs users a pause.
+//! VMs are lost, drained and added, and new groups announce themselves. Every control leader must
+//! compute the same placements; otherwise groups would move more often than VMs change, and each
+//! move pauses the group's callers.
 //!
-//! Rendezvous hashing gives each group its own order of VMs, so that the loss of one VM moves only
-//! that VM's groups, and spreads them over all others. A cap of [`LOAD_PERCENT`] of the mean keeps
-//! one VM from getting many more groups than another; 125 % was taken because it leaves the hash
-//! its first choice for most groups and still bounds the load.
+//! Rendezvous hashing gives each group its own order of VMs, so that the loss of a VM moves only
+//! its groups and spreads them over all others. No VM gets more than [`LOAD_CAP_PERCENT`] of the
+//! mean load. With 125 %, most groups are on the first VM of their order, and the load is still
+//! bounded.
 
 use crate::CatalogCopy;
 use crate::CatalogState;
 use crate::digest::digest_bytes;
 use crate::digest::mix_bits;
 use crate::proximity::EndpointProximity;
-use crate::proximity::judge_proximity;
+use crate::proximity::proximity_in;
 use ragwort_types::DomainName;
 use ragwort_types::GroupName;
 use ragwort_types::GroupPlacement;
@@ -26,21 +26,21 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-/// The most groups that placement gives to one VM, in percent of the mean.
-pub const LOAD_PERCENT: usize = 125;
+/// Upper limit of the groups on one VM, in percent of the mean.
+pub const LOAD_CAP_PERCENT: usize = 125;
 
-/// The number of standbys of a group, if there are VMs for them.
+/// Number of standbys of a group, if there are enough VMs.
 pub const STANDBY_COUNT: usize = 2;
 
-/// Plans the placements that are due: the control leader proposes them.
+/// Returns the placements that the control leader must propose.
 ///
-/// - A group whose leaseholder left the catalog goes to one of its live standbys, which hold its
+/// - A group whose leaseholder left the catalog moves to one of its live standbys, which hold its
 ///   journal, or else to another VM.
-/// - A standby that isn't live, drains, or shares a failure domain without need is replaced.
+/// - A standby that isn't live, is draining, or needlessly shares a failure domain is replaced.
 /// - An unplaced group gets its first placement.
 ///
-/// A leaseholder that is still in the catalog keeps its groups, live or not: its lease may run.
-/// One that drains hands its groups over by itself, see [`plan_handovers`].
+/// A leaseholder that is still in the catalog keeps its groups, live or not, because its lease may
+/// be valid. A draining leaseholder hands its groups over itself, see [`plan_handovers`].
 pub fn plan_placements(
     catalog: &CatalogState,
     live: &BTreeSet<VmName>,
@@ -49,7 +49,7 @@
     let usable = |member: &&MemberRecord| can_lead(member) && live.contains(&member.id.vm);
     let members: Vec<&MemberRecord> = catalog.members().filter(usable).collect();
     let mut planner = PlacementPlanner::new(&members, catalog.groups(), unplaced.len());
-    planner.learn_domains(catalog.members());
+    planner.add_domains(catalog.members());
     let mut plans = Vec::new();
     for record in catalog.groups() {
         let kept = catalog.member(&record.placement.leaseholder).is_some();
@@ -63,36 +63,37 @@
     plans
 }
 
-/// Plans the groups that a leaseholder should hand over: all if it drains, else those above the
+/// Plans the handovers of a leaseholder: all groups if it is draining, otherwise those above the
 /// cap.
 ///
-/// The leaseholder proposes each placement itself, after it has stopped serving the group: until
-/// its lease ends only it knows when nothing is in flight.
+/// The leaseholder proposes each placement itself after it has stopped serving the group: until its
+/// lease ends, only it knows when no request is in flight.
 pub fn plan_handovers(copy: &CatalogCopy, vm: &VmName) -> Vec<GroupPlacement> {
     let usable = |member: &&MemberRecord| can_lead(member) && member.id.vm != *vm;
     let others: Vec<&MemberRecord> = copy.members().filter(usable).collect();
     let draining = copy.member(vm).is_none_or(|member| member.draining);
     let mut planner = PlacementPlanner::new(&others, copy.groups(), 0);
-    planner.learn_domains(copy.members());
+    planner.add_domains(copy.members());
     let own = |record: &&GroupRecord| record.placement.leaseholder == *vm;
-    let mut led: Vec<&GroupRecord> = copy.groups().filter(own).collect();
+    let mut led_groups: Vec<&GroupRecord> = copy.groups().filter(own).collect();
     if !draining {
-        planner.count_keeper(copy.groups().count());
+        planner.count_planning_vm(copy.groups().count());
     }
     let kept = match draining {
         true => 0,
-        false => planner.lead_cap,
+        false => planner.leader_cap,
     };
-    led.sort_by_key(|record| std::cmp::Reverse(score(&record.placement.group, vm)));
-    let excess = led.into_iter().skip(kept);
+    led_groups
+        .sort_by_key(|record| std::cmp::Reverse(rendezvous_score(&record.placement.group, vm)));
+    let excess = led_groups.into_iter().skip(kept);
     excess
         .filter_map(|record| planner.hand_over_group(record))
         .collect()
 }
 
-/// Plans the groups that a leaseholder should hand over because their endpoints are far from it.
+/// Plans handovers of groups whose endpoints are far from their leaseholder.
 ///
-/// `unused` says that it has served nothing yet, so that a move costs nobody a pause.
+/// `unused` means that the leaseholder has served nothing yet, so that a move pauses no caller.
 pub fn plan_approaches(copy: &CatalogCopy, vm: &VmName, unused: bool) -> Vec<GroupPlacement> {
     let Some(own) = copy.member(vm) else {
         return Vec::new();
@@ -100,34 +101,34 @@
     let usable = |member: &&MemberRecord| can_lead(member) && member.id.vm != *vm;
     let others: Vec<&MemberRecord> = copy.members().filter(usable).collect();
     let mut planner = PlacementPlanner::new(&others, copy.groups(), 0);
-    planner.learn_domains(copy.members());
-    planner.count_keeper(copy.groups().count());
-    let led = copy
+    planner.add_domains(copy.members());
+    planner.count_planning_vm(copy.groups().count());
+    let led_groups = copy
         .groups()
         .filter(|record| record.placement.leaseholder == *vm);
     let mut plans = Vec::new();
-    for record in led {
-        let present = judge_proximity(record, &own.domain);
+    for record in led_groups {
+        let present = proximity_in(record, &own.domain);
         if present == EndpointProximity::Remote || unused {
-            plans.extend(planner.approach_endpoints(record, present));
+            plans.extend(planner.move_near_endpoints(record, present));
         }
     }
     plans
 }
 
-/// Returns the most groups that one of `vms` VMs should lead of `groups`.
+/// Returns the largest number of groups that one of `vms` VMs should lead out of `groups`.
 pub fn load_cap(groups: usize, vms: usize) -> usize {
-    (groups * LOAD_PERCENT).div_ceil(vms.max(1) * 100)
+    (groups * LOAD_CAP_PERCENT).div_ceil(vms.max(1) * 100)
 }
 
 struct PlacementPlanner<'a> {
     usable: BTreeMap<&'a VmName, &'a MemberRecord>,
-    /// The failure domains of all members, as a leaseholder that isn't usable keeps its groups.
+    /// The failure domains of all members, because an unusable leaseholder may keep its groups.
     domains: BTreeMap<&'a VmName, &'a DomainName>,
-    led: BTreeMap<VmName, usize>,
-    backed: BTreeMap<VmName, usize>,
-    lead_cap: usize,
-    backing_cap: usize,
+    led_counts: BTreeMap<VmName, usize>,
+    standby_counts: BTreeMap<VmName, usize>,
+    leader_cap: usize,
+    standby_cap: usize,
 }
 
 impl<'a> PlacementPlanner<'a> {
@@ -142,47 +143,50 @@
                 .map(|member| (&member.id.vm, *member))
                 .collect(),
             domains: BTreeMap::new(),
-            led: BTreeMap::new(),
-            backed: BTreeMap::new(),
-            lead_cap: 0,
-            backing_cap: 0,
+            led_counts: BTreeMap::new(),
+            standby_counts: BTreeMap::new(),
+            leader_cap: 0,
+            standby_cap: 0,
         };
         let mut count = unplaced;
         for record in groups {
             planner.count_placement(&record.placement);
             count += 1;
         }
-        planner.lead_cap = load_cap(count, usable.len());
-        planner.backing_cap = load_cap(count * STANDBY_COUNT, usable.len());
+        planner.leader_cap = load_cap(count, usable.len());
+        planner.standby_cap = load_cap(count * STANDBY_COUNT, usable.len());
         planner
     }
 
-    /// Counts the VM that hands groups over among those that share the load.
+    /// Includes the VM that hands groups over in the number of VMs that share the load.
     ///
-    /// Without it the others' cap would be higher than its own: each of two VMs would hand a group to
-    /// the other, which sheds it as too much, and its callers would be refused without end.
-    fn count_keeper(&mut self, groups: usize) {
-        self.lead_cap = load_cap(groups, self.usable.len() + 1);
+    /// Otherwise the others' cap would be higher than its own: two VMs would hand a group back and
+    /// forth without end, and its callers would be refused meanwhile.
+    fn count_planning_vm(&mut self, groups: usize) {
+        self.leader_cap = load_cap(groups, self.usable.len() + 1);
     }
 
-    fn learn_domains(&mut self, members: impl Iterator<Item = &'a MemberRecord>) {
+    fn add_domains(&mut self, members: impl Iterator<Item = &'a MemberRecord>) {
         let named = members.map(|member| (&member.id.vm, &member.domain));
         self.domains.extend(named);
     }
 
     fn count_placement(&mut self, placement: &GroupPlacement) {
-        *self.led.entry(placement.leaseholder.clone()).or_default() += 1;
+        *self
+            .led_counts
+            .entry(placement.leaseholder.clone())
+            .or_default() += 1;
         for standby in &placement.standbys {
-            *self.backed.entry(standby.clone()).or_default() += 1;
+            *self.standby_counts.entry(standby.clone()).or_default() += 1;
         }
     }
 
     fn uncount_placement(&mut self, placement: &GroupPlacement) {
-        if let Some(count) = self.led.get_mut(&placement.leaseholder) {
+        if let Some(count) = self.led_counts.get_mut(&placement.leaseholder) {
             *count -= 1;
         }
         for standby in &placement.standbys {
-            if let Some(count) = self.backed.get_mut(standby) {
+            if let Some(count) = self.standby_counts.get_mut(standby) {
                 *count -= 1;
             }
         }
@@ -200,16 +204,15 @@
         };
         let planned = leaseholder.map(|vm| self.fill_placement(present, vm));
         let changed = planned.filter(|planned| {
-            planned.leaseholder != present.leaseholder || !same_set(planned, present)
+            planned.leaseholder != present.leaseholder || !has_same_standbys(planned, present)
         });
         self.count_placement(changed.as_ref().unwrap_or(present));
         changed
     }
 
-    /// Says without ranking any VM that a group needs no other standbys.
+    /// Returns whether a group's standbys may stay, without ranking any VM.
     ///
-    /// Ranking 630 VMs for each of 710 groups takes long enough to be felt when it is done at each
-    /// tick.
+    /// Ranking 630 VMs for each of 710 groups at every tick would take noticeable time.
     fn is_settled(&self, present: &GroupPlacement) -> bool {
         let usable = |vm: &VmName| self.usable.contains_key(vm);
         if present.standbys.len() < STANDBY_COUNT || !present.standbys.iter().all(usable) {
@@ -244,14 +247,14 @@
         planned
     }
 
-    /// Hands a group to a VM that is nearer to its endpoints, if one has room for it.
-    fn approach_endpoints(
+    /// Plans the move of a group to a VM that is nearer to its endpoints and has room for it.
+    fn move_near_endpoints(
         &mut self,
         record: &GroupRecord,
         present: EndpointProximity,
     ) -> Option<GroupPlacement> {
         let (vm, proximity) = self.choose_nearest(record)?;
-        let room = self.led.get(&vm).copied().unwrap_or(0) < self.lead_cap;
+        let room = self.led_counts.get(&vm).copied().unwrap_or(0) < self.leader_cap;
         if proximity <= present || !room {
             return None;
         }
@@ -265,20 +268,25 @@
     fn choose_nearest(&self, record: &GroupRecord) -> Option<(VmName, EndpointProximity)> {
         let group = &record.placement.group;
         let ranked = self.usable.iter().map(|(vm, member)| {
-            let load = self.led.get(*vm).copied().unwrap_or(0);
-            let proximity = judge_proximity(record, &member.domain);
-            let room = load < self.lead_cap;
-            let rank = (room, proximity, std::cmp::Reverse(load), score(group, vm));
+            let load = self.led_counts.get(*vm).copied().unwrap_or(0);
+            let proximity = proximity_in(record, &member.domain);
+            let room = load < self.leader_cap;
+            let rank = (
+                room,
+                proximity,
+                std::cmp::Reverse(load),
+                rendezvous_score(group, vm),
+            );
             (rank, *vm)
         });
         let ((_, proximity, _, _), vm) = ranked.max()?;
         Some((vm.clone(), proximity))
     }
 
-    /// Chooses who leads next.
+    /// Chooses the next leaseholder.
     ///
-    /// Where a journal is kept it is a usable standby before any other VM, because it holds the
-    /// journal. Where the endpoints are noted there is no journal, and the nearest VM leads.
+    /// If the group has a journal, a usable standby is preferred because it holds the journal. If
+    /// endpoints are recorded, the group has no journal, and the nearest VM is chosen.
     fn choose_successor(&self, record: &GroupRecord) -> Option<VmName> {
         if !record.endpoints.is_empty() {
             return self.choose_nearest(record).map(|(vm, _)| vm);
@@ -287,8 +295,11 @@
         let holders = present.standbys.iter();
         let usable = holders.filter(|vm| self.usable.contains_key(vm));
         let best = usable.min_by_key(|vm| {
-            let load = self.led.get(*vm).copied().unwrap_or(0);
-            (load, std::cmp::Reverse(score(&present.group, vm)))
+            let load = self.led_counts.get(*vm).copied().unwrap_or(0);
+            (
+                load,
+                std::cmp::Reverse(rendezvous_score(&present.group, vm)),
+            )
         });
         match best {
             Some(vm) => Some(vm.clone()),
@@ -297,13 +308,13 @@
     }
 
     fn choose_leaseholder(&self, group: &GroupName) -> Option<VmName> {
-        let load = |vm: &VmName| self.led.get(vm).copied().unwrap_or(0);
-        let ranked = |vm: &&VmName| (load(vm) < self.lead_cap, score(group, vm));
+        let load = |vm: &VmName| self.led_counts.get(vm).copied().unwrap_or(0);
+        let ranked = |vm: &&VmName| (load(vm) < self.leader_cap, rendezvous_score(group, vm));
         let best = self.usable.keys().copied().max_by_key(ranked);
         best.cloned()
     }
 
-    /// Returns the next placement of a group under a leaseholder, with its standbys filled up.
+    /// Returns the next placement of a group under a leaseholder, with its standbys completed.
     fn fill_placement(&self, present: &GroupPlacement, leaseholder: VmName) -> GroupPlacement {
         let mut standbys = StandbyList::new();
         let mut domains: Vec<&DomainName> = Vec::new();
@@ -315,12 +326,12 @@
             let open = self.usable.values().filter(|member| !chosen(&member.id.vm));
             let best = open.max_by_key(|member| {
                 let vm = &member.id.vm;
-                let load = self.backed.get(vm).copied().unwrap_or(0);
+                let load = self.standby_counts.get(vm).copied().unwrap_or(0);
                 (
                     !domains.contains(&&member.domain),
                     kept.contains(&vm),
-                    load < self.backing_cap,
-                    score(&present.group, vm),
+                    load < self.standby_cap,
+                    rendezvous_score(&present.group, vm),
                 )
             });
             let Some(member) = best else {
@@ -338,18 +349,18 @@
     }
 }
 
-/// Says whether a member may be given groups.
+/// Returns whether a member may be given groups.
 fn can_lead(member: &MemberRecord) -> bool {
     member.traits.leaseholder && !member.draining
 }
 
-fn same_set(planned: &GroupPlacement, present: &GroupPlacement) -> bool {
+fn has_same_standbys(planned: &GroupPlacement, present: &GroupPlacement) -> bool {
     let holds = |vm: &VmName| present.standbys.contains(vm);
     planned.standbys.len() == present.standbys.len() && planned.standbys.iter().all(holds)
 }
 
-/// Returns a VM's rendezvous score for a group; the same on every VM and in every build.
-fn score(group: &GroupName, vm: &VmName) -> u64 {
+/// Returns a VM's rendezvous score for a group, which is the same on every VM and in every build.
+fn rendezvous_score(group: &GroupName, vm: &VmName) -> u64 {
     let name = group.as_str().bytes().chain([0]).chain(vm.as_str().bytes());
     mix_bits(digest_bytes(name))
 }
--- a/crates/control/src/promotion.rs
+++ b/crates/control/src/promotion.rs
@@ -1,13 +1,13 @@
-//! The replacement of a group's primary, by its leaseholder.
+//! Failover of a group's primary, run by the group's leaseholder.
 //!
-//! Load: a primary dies or is cut off, possibly together with the leaseholder or with the instance
-//! that is being promoted. Nobody outside orders a promotion. The chart `charts/promotion.yaml`
-//! holds the course of it; this module gives its names their meaning.
+//! A primary may die or be partitioned, possibly together with its leaseholder or with the instance
+//! that is being promoted, and no external service orders a promotion. The state machine is defined
+//! by the chart `charts/promotion.yaml`; this module implements its guards and actions.
 //!
-//! What keeps acknowledged writes: a majority of the group's instances is fenced at the new term
-//! before one of them is promoted, and an acknowledged write is held by a majority, so one of the
-//! fenced instances holds it. What keeps one primary per term: the promotion is sent to one
-//! instance in a term only. If its answer is lost, the next attempt is made in the next term.
+//! No acknowledged write is lost: a majority of the group's instances is fenced at the new term
+//! before one of them is promoted, and an acknowledged write is held by a majority, so at least one
+//! fenced instance holds it. A term has at most one primary: the promotion is sent to only one
+//! instance in a term, and if the reply is lost, the next attempt uses the next term.
 
 use crate::ClockTime;
 use crate::candidate::FencedInstances;
@@ -38,41 +38,42 @@
 use ragwort_types::TermStart;
 use std::time::Duration;
 
-/// The first wait before an unanswered request is sent again.
+/// Delay before the first retry of an unanswered request.
 ///
-/// An agent that is up answers within a few milliseconds, so fifty are enough to tell that it
-/// didn't, and small beside the second that a promotion may take.
-pub const FIRST_RETRY: Duration = Duration::from_millis(50);
+/// A running agent answers within a few milliseconds, so 50 ms show that it didn't, and are short
+/// compared with the second that a promotion may take.
+pub const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The longest wait between retries, so that a group whose majority returns is served soon after.
-pub const LONGEST_RETRY: Duration = Duration::from_millis(400);
+/// Longest delay between retries. It bounds the wait of a group whose majority becomes reachable
+/// again.
+pub const MAX_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// The promotion machine of one group, at its leaseholder.
+/// The failover state machine of one group, at its leaseholder.
 #[derive(Clone, Debug)]
 pub struct GroupPromotion {
     state: PromotionState,
     record: GroupRecord,
     epoch: PlacementEpoch,
-    /// The term that is being begun, or that has begun.
+    /// The term that has begun or is being proposed.
     term: GroupTerm,
     fenced: FencedInstances,
     candidate: Option<InstanceName>,
-    /// The last primary, which was suspected.
-    former: Option<InstanceName>,
-    /// The last term in which a promotion was sent, and to whom.
-    sent_promotion: Option<(GroupTerm, InstanceName)>,
+    /// The previous primary, which was suspected.
+    former_primary: Option<InstanceName>,
+    /// The last term in which a promotion was sent, and its recipient.
+    last_promote: Option<(GroupTerm, InstanceName)>,
     start: LogPosition,
     followers: FollowerTable,
     retry_at: Option<ClockTime>,
-    retry_wait: Duration,
+    retry_delay: Duration,
 }
 
 impl GroupPromotion {
-    /// Resumes from the catalog, when this process takes over the group or renews a lost lease.
+    /// Resumes from the catalog after this process took over the group or renewed a lapsed lease.
     ///
-    /// A term that was begun without a primary isn't continued, even if this VM began it: whom the
-    /// former process promoted in it isn't known, and a second promotion would give the term two
-    /// primaries. The next term is begun.
+    /// A term without a recorded primary isn't continued, even if this VM began it: which instance
+    /// the former process promoted is unknown, and a second promotion would give the term two
+    /// primaries. The next term is proposed instead.
     pub fn resume(record: &GroupRecord, now: ClockTime) -> (Self, PromotionActions) {
         let state = match (&record.primary, has_had_primary(record)) {
             (Some(_), _) => PromotionState::Serving,
@@ -86,12 +87,12 @@
             term: record.term,
             fenced: FencedInstances::default(),
             candidate: None,
-            former: record.primary.clone(),
-            sent_promotion: None,
+            former_primary: record.primary.clone(),
+            last_promote: None,
             start: record.start,
             followers: FollowerTable::default(),
             retry_at: None,
-            retry_wait: FIRST_RETRY,
+            retry_delay: MIN_RETRY_DELAY,
         };
         let mut actions = PromotionActions::new();
         match state {
@@ -102,28 +103,30 @@
         (promotion, actions)
     }
 
-    /// Returns where the promotion stands.
+    /// Returns the state.
     pub fn state(&self) -> PromotionState {
         self.state
     }
 
-    /// Returns the group's record as this machine knows it, which may be newer than the copy of the
-    /// catalog: an answer from control may arrive before the delta.
+    /// Returns the group's record as this machine knows it.
+    ///
+    /// It may be newer than the copy of the catalog, because a reply from control may arrive before
+    /// the delta.
     pub fn record(&self) -> &GroupRecord {
         &self.record
     }
 
-    /// Returns the term that is being begun or served.
+    /// Returns the term that is being proposed or served.
     pub fn term(&self) -> GroupTerm {
         self.term
     }
 
-    /// Returns when the caller should pass [`PromotionInput::Tick`] next.
+    /// Returns when [`PromotionInput::Tick`] is due.
     pub fn retry_at(&self) -> Option<ClockTime> {
         self.retry_at
     }
 
-    /// Takes an input and returns what to do.
+    /// Processes an input and returns the resulting actions.
     pub fn handle(&mut self, now: ClockTime, input: PromotionInput) -> PromotionActions {
         let mut actions = PromotionActions::new();
         match input {
@@ -135,19 +138,19 @@
                 self.step(now, PromotionEvent::FormationReady, None, &mut actions);
             }
             PromotionInput::TermAnswered(term, reply) if term == self.term => {
-                self.take_term(now, &reply, &mut actions);
+                self.handle_term_reply(now, &reply, &mut actions);
             }
             PromotionInput::RecordAnswered(term, reply) if term == self.term => {
                 self.step(now, read_record_reply(&reply), None, &mut actions);
             }
             PromotionInput::FenceAnswered(instance, term, outcome) if term == self.term => {
-                self.take_fence(now, &instance, outcome, &mut actions);
+                self.handle_fence_reply(now, &instance, outcome, &mut actions);
             }
             PromotionInput::PromoteAnswered(instance, term, outcome) if term == self.term => {
-                self.take_promotion(now, &instance, outcome, &mut actions);
+                self.handle_promote_reply(now, &instance, outcome, &mut actions);
             }
             PromotionInput::FollowAnswered(instance, term, outcome) if term == self.term => {
-                self.take_follow(now, &instance, outcome, &mut actions);
+                self.handle_follow_reply(now, &instance, outcome, &mut actions);
             }
             PromotionInput::TermAnswered(..)
             | PromotionInput::RecordAnswered(..)
@@ -155,13 +158,13 @@
             | PromotionInput::PromoteAnswered(..)
             | PromotionInput::FollowAnswered(..) => {}
             PromotionInput::StatusReported(instance, status) => {
-                self.take_status(now, &instance, &status, &mut actions);
+                self.handle_status(now, &instance, &status, &mut actions);
             }
-            PromotionInput::RecordChanged(record) => self.take_record(now, &record, &mut actions),
+            PromotionInput::RecordChanged(record) => self.handle_record(now, &record, &mut actions),
             PromotionInput::LeaseLost => {
                 self.step(now, PromotionEvent::LeaseLost, None, &mut actions);
             }
-            PromotionInput::Tick => self.take_tick(now, &mut actions),
+            PromotionInput::Tick => self.handle_tick(now, &mut actions),
         }
         actions
     }
@@ -182,7 +185,7 @@
         let step = promotion_chart().step(self.state, event, holds);
         if step.target != self.state {
             self.retry_at = None;
-            self.retry_wait = FIRST_RETRY;
+            self.retry_delay = MIN_RETRY_DELAY;
         }
         self.state = step.target;
         for action in step.actions {
@@ -223,10 +226,15 @@
         }
     }
 
-    fn take_term(&mut self, now: ClockTime, reply: &CommandReply, actions: &mut PromotionActions) {
+    fn handle_term_reply(
+        &mut self,
+        now: ClockTime,
+        reply: &CommandReply,
+        actions: &mut PromotionActions,
+    ) {
         let event = read_term_reply(reply);
         let awaited = self.state == PromotionState::Beginning;
-        // The answer may be here before the delta that shows the term.
+        // The reply may arrive before the delta that contains the term.
         if awaited && event == PromotionEvent::TermCommitted {
             self.record.term = self.term;
             self.record.term_epoch = self.epoch;
@@ -237,7 +245,7 @@
 
     fn propose_term(&mut self, now: ClockTime, actions: &mut PromotionActions) {
         self.term = self.record.term.next();
-        self.former = self.record.primary.clone().or(self.former.take());
+        self.former_primary = self.record.primary.clone().or(self.former_primary.take());
         self.candidate = None;
         self.fenced.clear();
         self.schedule_retry(now);
@@ -256,8 +264,9 @@
     }
 
     fn is_enough_fenced(&self) -> bool {
-        // Before the first primary nothing was acknowledged by a majority, and what the instances
-        // hold may come from before ragwortgate: the highest of all must be found.
+        // Before the first primary no write was acknowledged by a majority, and the instances may
+        // hold data that is older than ragwortgate. The highest position of all instances is
+        // needed.
         match has_had_primary(&self.record) {
             true => self.fenced.is_majority(&self.record.instances),
             false => self.fenced.is_all(&self.record.instances),
@@ -265,19 +274,19 @@
     }
 
     fn promote_candidate(&mut self, actions: &mut PromotionActions) {
-        let former = self.former.as_ref();
-        let Some(candidate) = self.fenced.choose(&self.record.instances, former) else {
+        let former_primary = self.former_primary.as_ref();
+        let Some(candidate) = self.fenced.choose(&self.record.instances, former_primary) else {
             return;
         };
         let candidate = candidate.clone();
-        // A second promotion in one term would let two instances take the same positions, and a
-        // majority be counted from both.
+        // After two promotions in one term, two instances would assign the same positions, and a
+        // majority could be counted from both.
         let elsewhere = self
-            .sent_promotion
+            .last_promote
             .as_ref()
             .is_some_and(|(term, name)| *term == self.term && *name != candidate);
         invariant!(!elsewhere, "two promotions in term {}", self.term);
-        self.sent_promotion = Some((self.term, candidate.clone()));
+        self.last_promote = Some((self.term, candidate.clone()));
         actions.push(PromotionAction::Promote(candidate.clone(), self.term));
         self.candidate = Some(candidate);
     }
@@ -286,7 +295,7 @@
         if let Some(candidate) = self.candidate.take() {
             self.fenced.remove(&candidate);
         }
-        self.sent_promotion = None;
+        self.last_promote = None;
     }
 
     fn propose_primary(&mut self, now: ClockTime, actions: &mut PromotionActions) {
@@ -325,7 +334,7 @@
         let Some(primary) = self.record.primary.clone() else {
             return;
         };
-        if primary == *instance || !self.followers.ask(now, instance) {
+        if primary == *instance || !self.followers.try_ask(now, instance) {
             return;
         }
         actions.push(PromotionAction::Follow(FollowOrder {
@@ -337,11 +346,11 @@
     }
 
     fn schedule_retry(&mut self, now: ClockTime) {
-        self.retry_at = Some(now + self.retry_wait);
-        self.retry_wait = LONGEST_RETRY.min(self.retry_wait * 2);
+        self.retry_at = Some(now + self.retry_delay);
+        self.retry_delay = MAX_RETRY_DELAY.min(self.retry_delay * 2);
     }
 
-    fn take_fence(
+    fn handle_fence_reply(
         &mut self,
         now: ClockTime,
         instance: &InstanceName,
@@ -351,23 +360,23 @@
         let event = match outcome {
             AgentOutcome::Answered(FenceReply::Fenced(position)) => {
                 let in_set = self.record.instances.contains(instance);
-                // After the promotion the answer of a slow instance changes nothing any more.
+                // A late reply after the promotion must not change the set of fenced instances.
                 if in_set && self.state == PromotionState::Fencing {
                     self.fenced.insert(instance.clone(), position);
                 }
                 PromotionEvent::Fenced
             }
             AgentOutcome::Answered(FenceReply::Refused(term)) => {
-                return self.take_later_term(now, instance, term, actions);
+                return self.handle_later_term(now, instance, term, actions);
             }
-            // The retry is scheduled already; a sooner one would only hammer a dead agent.
+            // A retry is already scheduled; an earlier one would only load a dead agent.
             AgentOutcome::NotSent | AgentOutcome::Unknown if self.retry_at.is_some() => return,
             AgentOutcome::NotSent | AgentOutcome::Unknown => PromotionEvent::FenceFailed,
         };
         self.step(now, event, Some(instance), actions);
     }
 
-    fn take_promotion(
+    fn handle_promote_reply(
         &mut self,
         now: ClockTime,
         instance: &InstanceName,
@@ -379,13 +388,13 @@
         }
         let event = match outcome {
             AgentOutcome::Answered(FenceReply::Fenced(_)) => {
-                // The position at the fence: up to it the log is that of earlier terms.
+                // Up to its position at the fence, the instance's log belongs to earlier terms.
                 let fenced = self.fenced.position(instance).unwrap_or_default();
                 self.start = LogPosition::new(self.term, fenced.index);
                 PromotionEvent::Promoted
             }
             AgentOutcome::Answered(FenceReply::Refused(term)) => {
-                return self.take_later_term(now, instance, term, actions);
+                return self.handle_later_term(now, instance, term, actions);
             }
             AgentOutcome::NotSent => PromotionEvent::PromoteNotSent,
             AgentOutcome::Unknown => PromotionEvent::PromoteUnknown,
@@ -393,7 +402,7 @@
         self.step(now, event, Some(instance), actions);
     }
 
-    fn take_follow(
+    fn handle_follow_reply(
         &mut self,
         now: ClockTime,
         instance: &InstanceName,
@@ -405,13 +414,13 @@
                 self.followers.confirm(instance);
             }
             AgentOutcome::Answered(FenceReply::Refused(term)) => {
-                self.take_later_term(now, instance, term, actions);
+                self.handle_later_term(now, instance, term, actions);
             }
             AgentOutcome::NotSent | AgentOutcome::Unknown => {}
         }
     }
 
-    fn take_status(
+    fn handle_status(
         &mut self,
         now: ClockTime,
         instance: &InstanceName,
@@ -419,11 +428,11 @@
         actions: &mut PromotionActions,
     ) {
         if status.fenced_term > self.term {
-            return self.take_later_term(now, instance, status.fenced_term, actions);
+            return self.handle_later_term(now, instance, status.fenced_term, actions);
         }
         let is_primary = self.record.primary.as_ref() == Some(instance);
         if is_primary {
-            return self.take_primary_status(now, status, actions);
+            return self.handle_primary_status(now, status, actions);
         }
         let followed = self.followers.is_confirmed(now, instance);
         let rival = status.role == InstanceRole::Primary;
@@ -432,11 +441,11 @@
         }
     }
 
-    /// Suspects a primary that answers, but isn't a primary any more: it has restarted.
+    /// Suspects a primary that answers but is no longer a primary: it has restarted.
     ///
-    /// Its position must be of the present term. A status from before its promotion, which arrives
-    /// late, shows a replica too.
-    fn take_primary_status(
+    /// Its position must belong to the present term, because a delayed status from before its
+    /// promotion shows a replica too.
+    fn handle_primary_status(
         &mut self,
         now: ClockTime,
         status: &InstanceStatus,
@@ -448,7 +457,7 @@
         }
     }
 
-    fn take_later_term(
+    fn handle_later_term(
         &mut self,
         now: ClockTime,
         instance: &InstanceName,
@@ -460,34 +469,34 @@
         }
     }
 
-    fn take_record(
+    fn handle_record(
         &mut self,
         now: ClockTime,
         record: &GroupRecord,
         actions: &mut PromotionActions,
     ) {
-        let moved = record.placement.epoch > self.epoch;
-        let own = record.term_epoch == self.epoch && record.term == self.term;
+        let epoch_raised = record.placement.epoch > self.epoch;
+        let own_term = record.term_epoch == self.epoch && record.term == self.term;
         self.epoch = self.epoch.max(record.placement.epoch);
-        // A delta may be overtaken by the answer that told of the same change.
+        // The reply to a command may arrive before an older delta.
         let primary_known = self.record.primary.is_some() && record.primary.is_none();
-        let overtaken =
+        let is_stale =
             record.term < self.record.term || (record.term == self.record.term && primary_known);
-        match overtaken {
+        match is_stale {
             true => self.record.instances = record.instances.clone(),
             false => self.record = record.clone(),
         }
-        let recorded = own && record.primary.is_some() && record.primary == self.candidate;
+        let recorded = own_term && record.primary.is_some() && record.primary == self.candidate;
         if recorded {
             self.step(now, PromotionEvent::PrimaryRecorded, None, actions);
-        } else if moved {
+        } else if epoch_raised {
             self.step(now, PromotionEvent::EpochChanged, None, actions);
-        } else if own && record.primary.is_none() {
+        } else if own_term && record.primary.is_none() {
             self.step(now, PromotionEvent::TermCommitted, None, actions);
         }
     }
 
-    fn take_tick(&mut self, now: ClockTime, actions: &mut PromotionActions) {
+    fn handle_tick(&mut self, now: ClockTime, actions: &mut PromotionActions) {
         if self.retry_at.is_some_and(|due| now >= due) {
             self.retry_at = None;
             self.step(now, PromotionEvent::RetryDue, None, actions);
--- a/crates/control/src/promotion_chart.rs
+++ b/crates/control/src/promotion_chart.rs
@@ -1,4 +1,4 @@
-//! The names in the promotion chart.
+//! States, events, guards and actions of the promotion chart.
 
 use crate::chart::ChartVocabulary;
 use crate::chart::StateChart;
@@ -6,108 +6,108 @@
 use std::sync::LazyLock;
 
 chart_names! {
-    /// Where a promotion stands.
+    /// State of a promotion.
     PromotionState {
-        /// The group never had a primary; its instances are being gathered.
+        /// The group never had a primary; its first instances are being collected.
         Forming,
-        /// The present term has its primary.
+        /// The present term has a primary.
         Serving,
-        /// A new term is proposed.
+        /// A new term has been proposed.
         Beginning,
-        /// A majority is being fenced.
+        /// Instances are being fenced at the new term.
         Fencing,
         /// The candidate is being promoted.
         Promoting,
-        /// The primary is being recorded.
+        /// The primary is being recorded in the catalog.
         Recording,
-        /// This process doesn't lead the group any more.
+        /// This process no longer leads the group.
         Stopped,
     }
 }
 
 chart_names! {
-    /// What happens to a promotion.
+    /// Event in a promotion.
     PromotionEvent {
-        /// The primary is taken for dead.
+        /// The primary is suspected.
         Suspected,
-        /// The group's first instances are gathered.
+        /// The group's first instances are in its instance set.
         FormationReady,
         /// The term was committed.
         TermCommitted,
-        /// The term was refused, as the catalog had changed.
+        /// The term was refused because the catalog had changed.
         TermRefused,
-        /// Whether the term was committed isn't known.
+        /// The reply to the proposed term was lost.
         TermUnknown,
         /// An instance was fenced.
         Fenced,
-        /// An instance didn't answer the fence.
+        /// An instance didn't answer the fence request.
         FenceFailed,
-        /// An instance knows a later term.
+        /// An instance was fenced at a later term.
         LaterTermSeen,
         /// The candidate was promoted.
         Promoted,
-        /// The promotion can't have reached the candidate.
+        /// The promotion request can't have reached the candidate.
         PromoteNotSent,
-        /// Whether the candidate was promoted isn't known.
+        /// The candidate's reply to the promotion was lost.
         PromoteUnknown,
-        /// The primary was recorded.
+        /// The primary was recorded in the catalog.
         PrimaryRecorded,
-        /// The record was refused, as the catalog had changed.
+        /// The record was refused because the catalog had changed.
         RecordRefused,
-        /// Whether the primary was recorded isn't known.
+        /// The reply to the proposed record was lost.
         RecordUnknown,
-        /// The group's placement has a new epoch, under the same leaseholder.
+        /// The group's placement has a new epoch under the same leaseholder.
         EpochChanged,
         /// An instance doesn't follow the present term.
         InstanceBehind,
-        /// The time for a retry has come.
+        /// The retry time was reached.
         RetryDue,
-        /// This process doesn't lead the group any more.
+        /// This process no longer leads the group.
         LeaseLost,
     }
 }
 
 chart_names! {
-    /// What a promotion's course depends on.
+    /// Condition of a transition.
     PromotionGuard {
-        /// A majority is fenced; for a group's first primary, all instances.
+        /// A majority is fenced or, for a group's first primary, every instance.
         EnoughFenced,
-        /// The instance that knows a later term is the primary.
+        /// The instance that was fenced at a later term is the primary.
         PrimaryRefuses,
     }
 }
 
 chart_names! {
-    /// What a promotion does; most become a [`PromotionAction`](crate::PromotionAction).
+    /// Action of a transition; most result in a [`PromotionAction`](crate::PromotionAction).
     PromotionStep {
         /// Proposes the next term.
         ProposeTerm,
-        /// Fences every instance.
+        /// Fences all instances.
         FenceAll,
-        /// Fences the instances that haven't answered.
+        /// Fences the instances that haven't replied.
         FenceRest,
         /// Chooses a fenced instance and promotes it.
         PromoteCandidate,
-        /// Counts the candidate as not fenced.
+        /// Removes the candidate from the fenced instances.
         DropCandidate,
         /// Proposes the record of the primary.
         ProposePrimary,
-        /// Lets the group be served.
+        /// Starts serving the group.
         Serve,
-        /// Stops dispatching, as there is no primary.
+        /// Stops dispatching until there is a primary.
         Suspend,
-        /// Tells all other instances to follow.
+        /// Orders all other instances to follow the primary.
         FollowOthers,
-        /// Tells one instance to follow.
+        /// Orders one instance to follow the primary.
         FollowInstance,
-        /// Waits for the next retry.
+        /// Schedules a retry.
         ScheduleRetry,
-        /// Ends the machine.
+        /// Stops the state machine.
         Stop,
     }
 }
 
-/// The names in the promotion chart.
+/// Vocabulary of the promotion chart.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PromotionVocabulary;
 
--- a/crates/control/src/promotion_message.rs
+++ b/crates/control/src/promotion_message.rs
@@ -1,4 +1,4 @@
-//! What a promotion is told, and what it asks its caller to do.
+//! Inputs and actions of the failover state machine.
 
 use crate::promotion_chart::PromotionEvent;
 use ragwort_types::CatalogOutcome;
@@ -13,80 +13,83 @@
 use ragwort_types::TermStart;
 use smallvec::SmallVec;
 
-/// What became of a request to an endpoint's agent.
+/// The outcome of a request to an endpoint's agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AgentOutcome {
     /// The agent answered.
     Answered(FenceReply),
-    /// No connection could be opened: the request can't have reached the agent.
+    /// No connection could be opened, so the request can't have reached the agent.
     NotSent,
-    /// The request was sent and its answer is lost.
+    /// The request was sent, but its reply was lost.
     Unknown,
 }
 
-/// What a promotion is told. Answers carry the term that they were asked for, so that a late one
-/// isn't taken for another's.
+/// An input to the state machine.
+///
+/// Replies carry the term of their request, so that a late one isn't taken for the reply to another
+/// request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PromotionInput {
-    /// The primary of this term is taken for dead.
+    /// The primary of this term is suspected.
     Suspected(GroupTerm),
-    /// The group's first instances are in its set; the first term may begin.
+    /// The group's first instances are in its instance set, so the first term may begin.
     FormationReady,
-    /// The answer to [`PromotionAction::ProposeTerm`].
+    /// The reply to [`PromotionAction::ProposeTerm`].
     TermAnswered(GroupTerm, CommandReply),
-    /// The answer to [`PromotionAction::Fence`].
+    /// The reply to [`PromotionAction::Fence`].
     FenceAnswered(InstanceName, GroupTerm, AgentOutcome),
-    /// The answer to [`PromotionAction::Promote`].
+    /// The reply to [`PromotionAction::Promote`].
     PromoteAnswered(InstanceName, GroupTerm, AgentOutcome),
-    /// The answer to [`PromotionAction::ProposePrimary`].
+    /// The reply to [`PromotionAction::ProposePrimary`].
     RecordAnswered(GroupTerm, CommandReply),
-    /// The answer to [`PromotionAction::Follow`].
+    /// The reply to [`PromotionAction::Follow`].
     FollowAnswered(InstanceName, GroupTerm, AgentOutcome),
-    /// An instance of the group, in its set or not, reported its status.
+    /// The status of an instance of the group, whether or not it is in the instance set.
     StatusReported(InstanceName, InstanceStatus),
-    /// The group's record changed in this process's copy of the catalog.
+    /// The group's record changed in the local copy of the catalog.
     RecordChanged(Box<GroupRecord>),
-    /// This process's lease ended, or the group was placed elsewhere.
+    /// This process's lease ended, or the group was placed on another VM.
     LeaseLost,
-    /// Time has passed; see [`retry_at`](crate::GroupPromotion::retry_at).
+    /// The retry time was reached; see [`retry_at`](crate::GroupPromotion::retry_at).
     Tick,
 }
 
-/// What the caller does for a promotion.
+/// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PromotionAction {
-    /// Propose this command to control.
+    /// Propose the start of a term to control.
     ProposeTerm(TermStart),
     /// Fence an instance at a term.
     Fence(InstanceName, GroupTerm),
     /// Promote an instance in a term.
     Promote(InstanceName, GroupTerm),
-    /// Propose this command to control.
+    /// Propose the record of the primary to control.
     ProposePrimary(PrimaryRecord),
-    /// Tell an instance to follow the primary.
+    /// Order an instance to follow the primary.
     Follow(FollowOrder),
-    /// Serve the group: this instance is its primary in this term.
+    /// Serve the group with this instance as primary in this term.
     Serve(InstanceName, GroupTerm),
-    /// Dispatch nothing to the group until it is served again.
+    /// Dispatch no requests to the group until the next [`Serve`](Self::Serve).
     Suspend,
-    /// Drop the group: this process doesn't lead it any more.
+    /// Drop the group: this process no longer leads it.
     Stop,
 }
 
-/// Whom an instance is to follow.
+/// An order to follow a primary.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FollowOrder {
-    /// The instance.
+    /// The instance that must follow.
     pub instance: InstanceName,
     /// The primary's term.
     pub term: GroupTerm,
-    /// Where the term began: the instance drops what it has past it from earlier terms.
+    /// The first position of the term. The instance discards what it holds beyond it from earlier
+    /// terms.
     pub start: LogPosition,
     /// The primary.
     pub primary: InstanceName,
 }
 
-/// The actions of one input.
+/// The actions that result from one input.
 pub type PromotionActions = SmallVec<[PromotionAction; 4]>;
 
 pub(crate) fn read_term_reply(reply: &CommandReply) -> PromotionEvent {
--- a/crates/control/src/proximity.rs
+++ b/crates/control/src/proximity.rs
@@ -1,35 +1,33 @@
-//! How near a leaseholder is to its group's endpoints.
+//! Proximity of a leaseholder to its group's endpoints.
 //!
-//! # The load it answers
+//! Every statement travels from a gateway to the leaseholder and from there to an endpoint. If no
+//! endpoint is in the leaseholder's failure domain, both hops cross failure domains, and the
+//! traffic of the second hop is paid for without benefit.
 //!
-//! Every statement goes from a gateway to the leaseholder and on to an endpoint. Where no endpoint
-//! stands in the leaseholder's failure domain, both ways lead between failure domains, and the
-//! bytes of the second are paid for though nothing is gained by them.
-//!
-//! # Grounds for its figures
-//!
-//! Writes, fresh reads and transactions have only the primary, and a transaction pays the way to it
-//! once a statement; reads that replicas may serve are single and have time. So the primary nearby
-//! counts for more than a replica: more transactions end within their target, for some more bytes
-//! between failure domains. A move costs callers a pause. A leaseholder that serves moves only if no endpoint at all
-//! is near; one that has served nothing yet moves to the best place.
+//! Writes, fresh reads and transactions go to the primary only, and a transaction makes that hop
+//! for every statement; reads that replicas may serve are single statements and less urgent. A
+//! primary nearby therefore ranks above a replica: more transactions finish within their target, at
+//! the price of some more traffic between failure domains. A move pauses callers, so a leaseholder
+//! that serves requests moves only if no endpoint is near; one that has served nothing yet moves to
+//! the best place.
 
 use ragwort_types::DomainName;
 use ragwort_types::GroupRecord;
 
-/// What stands in a failure domain, from the worst to the best for a leaseholder.
+/// The endpoints of a group in a failure domain, ordered from the worst to the best for a
+/// leaseholder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum EndpointProximity {
     /// No endpoint of the group.
     Remote,
-    /// Replicas alone.
+    /// Replicas only.
     Replica,
-    /// The primary, and perhaps a replica.
+    /// The primary, possibly with replicas.
     Primary,
 }
 
-/// Judges a failure domain by the endpoints that were noted for a group.
-pub(crate) fn judge_proximity(record: &GroupRecord, domain: &DomainName) -> EndpointProximity {
+/// Returns the proximity of a failure domain to the endpoints recorded for a group.
+pub(crate) fn proximity_in(record: &GroupRecord, domain: &DomainName) -> EndpointProximity {
     let near = record.endpoints.iter();
     let near = near.filter(|endpoint| endpoint.domain == *domain && !endpoint.status.leaving);
     let judged = near.map(
