--- a/crates/control/src/quorum.rs
+++ b/crates/control/src/quorum.rs
@@ -1,13 +1,13 @@
-//! Which writes a majority holds, and which reads a majority has confirmed.
+//! Majority acknowledgement of writes and majority confirmation of linearizable reads.
 //!
-//! Load: replication is asynchronous, and a primary is cut off or dies right after it has answered.
-//! If a write were acknowledged as soon as the primary has it, the promoted instance could lack it
-//! and an applicant would queue again. So a write is released only when a majority of the group's
-//! instances hold its position in the present term; a promotion fences a majority, and so meets at
-//! least one instance that holds it.
+//! Replication is asynchronous, and a primary may die or be partitioned right after it has
+//! answered. If a write were acknowledged as soon as the primary has it, the promoted instance
+//! could lack it, and a write that a caller was told is done would be lost. A write is therefore
+//! released only when a majority of the group's instances hold its position in the present term. A
+//! promotion fences a majority, which contains at least one instance that holds the write.
 
 use crate::ClockTime;
-use crate::history::PositionHistory;
+use crate::history::PositionSamples;
 use ragwort_types::GroupRecord;
 use ragwort_types::GroupTerm;
 use ragwort_types::InstanceName;
@@ -19,88 +19,89 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The instances that count towards a majority.
+/// The instances among which a majority is counted.
 pub type InstanceSet = SmallVec<[InstanceName; 4]>;
 
 /// Identifies a write that waits for a majority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct WriteTicket(pub u64);
 
-/// Identifies a round of status requests that confirms reads.
+/// Identifies a round of status requests that confirms the reads that joined it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct RoundId(pub u64);
 
-/// What a status report led to.
+/// The writes and terms that a status report affects.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct QuorumProgress {
     /// Writes that may be acknowledged now.
     pub released: Vec<WriteTicket>,
-    /// Writes that can't be acknowledged any more: their answer is that they may have run.
+    /// Writes that can no longer be acknowledged; their outcome is unknown.
     pub abandoned: Vec<WriteTicket>,
-    /// A later term that an instance was fenced at: the present term is over.
+    /// A later term at which an instance was fenced, which means that the present term is over.
     pub later_term: Option<GroupTerm>,
 }
 
-/// How far the reads of a round are.
+/// Progress of the reads of a round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadProgress {
-    /// Reads of this round and all before it may be answered.
+    /// Reads of this round and of all earlier rounds may be answered.
     Confirmed(RoundId),
     /// More instances have to answer.
     Pending,
-    /// An instance was fenced at this later term: no read of the present term may be answered.
+    /// An instance was fenced at this later term, so no read of the present term may be answered.
     TermOver(GroupTerm),
 }
 
-/// What the primary's answer to a statement showed.
+/// The primary's position in its answer to a statement.
 #[derive(Clone, Copy, Debug)]
 struct PrimaryAnswer {
-    /// When the answer came.
-    came: ClockTime,
+    /// When the answer arrived.
+    received: ClockTime,
     position: LogPosition,
 }
 
-/// A write that no majority held in time.
+/// A write that no majority held before its time ran out.
 #[derive(Clone, Copy, Debug)]
 struct OverdueWrite {
     position: LogPosition,
-    /// The time that it had.
+    /// The time that the write was given.
     time: Duration,
 }
 
-/// The majority of a group's instances, in one term.
+/// Tracks which positions a majority of a group's instances holds in one term.
 #[derive(Clone, Debug)]
 pub struct PositionQuorum {
     term: GroupTerm,
     primary: Option<InstanceName>,
-    /// Where the term began.
+    /// The first position of the term.
     start: LogPosition,
     instances: InstanceSet,
-    /// A change of the set whose outcome isn't known; both sets have to agree meanwhile.
+    /// A change of the instance set with an unknown outcome; until it is known, both sets must
+    /// agree.
     proposed: Option<InstanceSet>,
     reports: BTreeMap<InstanceName, InstanceStatus>,
     acknowledged: LogPosition,
     /// The primary's first position that this process saw: a former leaseholder may have
-    /// acknowledged writes up to it. `None` before that.
+    /// acknowledged writes up to it. `None` before the first report.
     baseline: Option<LogPosition>,
-    /// Where the primary stood by its latest answer to a statement.
+    /// The primary's position in its latest answer to a statement.
     answered: Option<PrimaryAnswer>,
     waiting: BTreeSet<(LogPosition, WriteTicket)>,
-    /// The last write that was given up on, until a majority holds it.
+    /// The last write whose time ran out, until a majority holds it.
     overdue: Option<OverdueWrite>,
-    /// Whether a promotion has begun; the present term acknowledges nothing any more.
+    /// Whether a promotion has begun, so that the present term acknowledges nothing more.
     suspended: bool,
     last_ticket: u64,
-    history: PositionHistory,
-    /// The round that reads join; it hasn't begun.
+    samples: PositionSamples,
+    /// The round that reads join; it hasn't begun yet.
     next_round: RoundId,
-    joined: bool,
+    reads_joined: bool,
     confirmations: BTreeMap<RoundId, BTreeSet<InstanceName>>,
     confirmed_round: RoundId,
 }
 
 impl PositionQuorum {
-    /// Creates the quorum of a group as its record stands.
+    /// Creates the quorum of a group from its record.
     pub fn new(record: &GroupRecord) -> Self {
         Self {
             term: record.term,
@@ -116,16 +117,16 @@
             overdue: None,
             suspended: false,
             last_ticket: 0,
-            history: PositionHistory::default(),
+            samples: PositionSamples::default(),
             next_round: RoundId(1),
-            joined: false,
+            reads_joined: false,
             confirmations: BTreeMap::new(),
             confirmed_round: RoundId(0),
         }
     }
 
-    /// Takes over a changed record and returns the writes that can't be acknowledged any more,
-    /// because their term is over.
+    /// Adopts a changed record and returns the writes that can no longer be acknowledged because
+    /// their term is over.
     pub fn adopt_record(&mut self, record: &GroupRecord) -> Vec<WriteTicket> {
         if self
             .proposed
@@ -149,10 +150,10 @@
         self.abandon_writes()
     }
 
-    /// Ends the present term, as a promotion begins, and returns the writes that can't be
-    /// acknowledged any more.
+    /// Ends the present term when a promotion begins, and returns the writes that can no longer be
+    /// acknowledged.
     ///
-    /// A status that was on its way while instances were fenced would otherwise release a write
+    /// Otherwise a status that was in flight while instances were fenced could release a write
     /// after the next primary was recorded.
     pub fn suspend(&mut self) -> Vec<WriteTicket> {
         self.suspended = true;
@@ -169,12 +170,12 @@
         self.term
     }
 
-    /// Returns the highest position whose write was acknowledged.
+    /// Returns the highest acknowledged position.
     pub fn acknowledged(&self) -> LogPosition {
         self.acknowledged
     }
 
-    /// Returns what an instance last reported.
+    /// Returns an instance's last reported status.
     pub fn status(&self, instance: &InstanceName) -> Option<&InstanceStatus> {
         self.reports.get(instance)
     }
@@ -188,12 +189,12 @@
         }
     }
 
-    /// Lets a write wait until a majority holds its position.
+    /// Registers a write that must wait until a majority holds its position.
     ///
-    /// The write is among the released ones of this call's progress if a majority holds it already.
-    /// It is among the abandoned ones if its position is of another term: the answer of a replaced
-    /// primary may arrive when its successor serves, and any position of the new term would cover
-    /// it, though the successor may lack the write.
+    /// The returned progress contains the write as released if a majority already holds it, and as
+    /// abandoned if its position belongs to another term: the answer of a replaced primary may
+    /// arrive while its successor serves, and every position of the new term would cover it
+    /// although the successor may lack the write.
     pub fn await_majority(&mut self, position: LogPosition) -> (WriteTicket, QuorumProgress) {
         self.last_ticket += 1;
         let ticket = WriteTicket(self.last_ticket);
@@ -206,12 +207,12 @@
         (ticket, self.progress())
     }
 
-    /// Stops waiting for a write, as when its deadline has passed.
+    /// Stops waiting for a write, for instance because its deadline has passed.
     pub fn give_up(&mut self, ticket: WriteTicket) {
         self.waiting.retain(|(_, waiting)| *waiting != ticket);
     }
 
-    /// Stops waiting for a write that no majority held in the time that it had.
+    /// Stops waiting for a write that no majority held within `time`.
     pub fn give_up_overdue(&mut self, ticket: WriteTicket, time: Duration) {
         let mut waiting = self.waiting.iter();
         let position = waiting.find_map(|(position, held)| (*held == ticket).then_some(*position));
@@ -221,9 +222,10 @@
         self.give_up(ticket);
     }
 
-    /// Says whether a write that had at least as much time was given up on and a majority still lacks it.
+    /// Returns whether a write that was given at least `time` ran out of it and is still not held
+    /// by a majority.
     ///
-    /// Another one would run and end in doubt as well.
+    /// Another write with as little time would run and end with an unknown outcome too.
     pub fn is_overdue_beyond(&self, time: Duration) -> bool {
         let majority = self.majority_position();
         self.overdue.is_some_and(|overdue| {
@@ -232,54 +234,56 @@
         })
     }
 
-    /// Returns the number of writes that wait.
+    /// Returns the number of waiting writes.
     pub fn waiting_writes(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Takes an instance's status, from a request that was sent at `sent` and answered at `came`.
+    /// Records an instance's status, from a request that was sent at `sent` and answered at
+    /// `received`.
     ///
-    /// The latest report counts, even if it is lower: an instance that crashed may have lost its
-    /// tail, and then doesn't hold it any more.
+    /// The latest report replaces an earlier one even if its position is lower: an instance that
+    /// crashed may have lost its tail and no longer holds it.
     pub fn report(
         &mut self,
         sent: ClockTime,
-        came: ClockTime,
+        received: ClockTime,
         instance: &InstanceName,
         status: InstanceStatus,
     ) -> QuorumProgress {
         let leads = self.primary.as_ref() == Some(instance);
-        if leads && self.is_overtaken(sent, &status) {
+        if leads && self.is_stale_status(sent, &status) {
             return self.progress();
         }
-        let counts = self.counts(&status);
+        let holds_term_log = self.holds_term_log(&status);
         self.reports.insert(instance.clone(), status);
-        if counts && leads {
+        if holds_term_log && leads {
             self.baseline.get_or_insert(status.position);
-            self.history.observe(sent, came, status.position);
+            self.samples.observe(sent, received, status.position);
         }
         self.progress()
     }
 
-    /// Says whether a primary's status was overtaken by its answer to a statement.
+    /// Returns whether a status of the primary is older than its latest answer to a statement.
     ///
-    /// It was asked for before that answer came and says less, so it was on its way meanwhile. Taken for
-    /// the present it would hide a write that was answered: one would notice reads of a session that
-    /// wait for a position which nobody seems to hold.
-    fn is_overtaken(&self, sent: ClockTime, status: &InstanceStatus) -> bool {
+    /// Such a status was requested before that answer arrived and shows a lower position. If it
+    /// replaced the newer position, an answered write would seem to be held by no instance, and
+    /// reads of its session would wait for it.
+    fn is_stale_status(&self, sent: ClockTime, status: &InstanceStatus) -> bool {
         self.answered.is_some_and(|answer| {
             let same_term = status.fenced_term == answer.position.term;
-            same_term && sent < answer.came && status.position < answer.position
+            same_term && sent < answer.received && status.position < answer.position
         })
     }
 
-    /// Takes what an answer to a statement, sent at `sent`, shows of the present primary's position.
+    /// Records the present primary's position from its answer, received at `received`, to a
+    /// statement that was sent at `sent`.
     ///
-    /// It counts also while nothing is heard of the primary's agent.
+    /// The position counts even while the primary's agent is silent.
     pub fn note_answer(
         &mut self,
         sent: ClockTime,
-        came: ClockTime,
+        received: ClockTime,
         instance: &InstanceName,
         position: LogPosition,
     ) -> QuorumProgress {
@@ -288,8 +292,8 @@
         }
         let newest = self.answered.map(|answer| answer.position);
         let position = newest.map_or(position, |newest| newest.max(position));
-        self.answered = Some(PrimaryAnswer { came, position });
-        self.history.observe(sent, came, position);
+        self.answered = Some(PrimaryAnswer { received, position });
+        self.samples.observe(sent, received, position);
         if let Some(status) = self.reports.get_mut(instance)
             && status.fenced_term == self.term
         {
@@ -298,21 +302,21 @@
         self.progress()
     }
 
-    /// Forgets what an instance reported, as when it is silent.
+    /// Discards an instance's last status, for instance because the instance is silent.
     pub fn forget(&mut self, instance: &InstanceName) {
         self.reports.remove(instance);
     }
 
-    /// Says whether an instance may join the set now: it and a majority hold all that was
-    /// acknowledged. An instance that joins empty could help to outvote those that hold it.
+    /// Returns whether an instance may join the set now: it and a majority hold all acknowledged
+    /// writes. An instance that joined empty could form a majority with others that lack them.
     pub fn may_add(&self, instance: &InstanceName) -> bool {
         let settled = self.is_settled(self.majority_position());
         let caught_up = self.is_settled(self.counted_position(instance));
         self.proposed.is_none() && settled && caught_up && !self.instances.contains(instance)
     }
 
-    /// Says whether an instance may leave the set now: a majority of the others, too, holds all
-    /// that was acknowledged.
+    /// Returns whether an instance may leave the set now: a majority of the remaining instances
+    /// also holds all acknowledged writes.
     pub fn may_remove(&self, instance: &InstanceName) -> bool {
         let rest = self.without(instance);
         let settled = self.is_settled(self.set_position(&rest));
@@ -320,7 +324,7 @@
         self.proposed.is_none() && settled && known && self.primary.as_ref() != Some(instance)
     }
 
-    /// Says whether a position covers all that this or a former leaseholder acknowledged.
+    /// Returns whether a position covers everything that this or a former leaseholder acknowledged.
     fn is_settled(&self, position: Option<LogPosition>) -> bool {
         let Some((position, baseline)) = position.zip(self.baseline) else {
             return false;
@@ -328,48 +332,48 @@
         position.covers(self.acknowledged) && position.covers(baseline)
     }
 
-    /// Notes that an addition was proposed. Until its outcome is known, writes need a majority of
-    /// the set with and without the instance.
+    /// Records a proposed addition. Until its outcome is known, writes need a majority of the set
+    /// both with and without the instance.
     pub fn propose_add(&mut self, instance: &InstanceName) {
         let mut set = self.instances.clone();
         set.push(instance.clone());
         self.proposed = Some(set);
     }
 
-    /// Notes that a removal was proposed; see [`propose_add`](Self::propose_add).
+    /// Records a proposed removal; see [`propose_add`](Self::propose_add).
     pub fn propose_remove(&mut self, instance: &InstanceName) {
         self.proposed = Some(self.without(instance));
     }
 
-    /// Notes that the proposed change was refused and can't be committed any more.
+    /// Records that the proposed change was refused and can no longer be committed.
     pub fn withdraw_proposal(&mut self) -> QuorumProgress {
         self.proposed = None;
         self.progress()
     }
 
-    /// Returns the round that a read joins. It may be answered once this round is confirmed.
+    /// Returns the round that a read joins. The read may be answered once the round is confirmed.
     pub fn join_read(&mut self) -> RoundId {
-        self.joined = true;
+        self.reads_joined = true;
         self.next_round
     }
 
-    /// Begins a round if reads have joined it. The caller then asks all instances for their status
-    /// and passes the answers to [`confirm`](Self::confirm).
+    /// Begins a round if reads have joined it. The caller then requests the status of all instances
+    /// and passes the replies to [`confirm`](Self::confirm).
     pub fn begin_read_round(&mut self) -> Option<RoundId> {
-        if !self.joined {
+        if !self.reads_joined {
             return None;
         }
-        self.joined = false;
+        self.reads_joined = false;
         let round = self.next_round;
         self.next_round = RoundId(round.0 + 1);
         self.confirmations.insert(round, BTreeSet::new());
         Some(round)
     }
 
-    /// Takes the answer of an instance that was asked after a round began.
+    /// Records the reply of an instance that was asked after a round began.
     ///
     /// A majority that knew no later term after the read began shows that no later primary had
-    /// acknowledged anything before it: a term needs a majority to be fenced first.
+    /// acknowledged anything before it, because a term begins only after a majority was fenced.
     pub fn confirm(
         &mut self,
         round: RoundId,
@@ -385,11 +389,11 @@
         if fenced_term < self.term {
             return ReadProgress::Pending;
         }
-        // An answer to a later round was also asked for after the earlier ones began.
+        // A reply to a later round was also requested after the earlier rounds began.
         for (_, names) in self.confirmations.range_mut(..=round) {
             names.insert(instance.clone());
         }
-        // The rounds of an earlier term were dropped with it.
+        // Rounds of an earlier term were discarded with it.
         let Some(names) = self.confirmations.get(&round) else {
             return ReadProgress::TermOver(self.term);
         };
@@ -401,47 +405,48 @@
         ReadProgress::Confirmed(round)
     }
 
-    /// Returns the most that an instance's data can be behind the primary's, by this process's
-    /// clock. `None` means that it isn't known: the instance serves no read that has an age.
+    /// Returns an upper bound, by this process's clock, on how far an instance's data is behind the
+    /// primary's. `None` if it is unknown; the instance then serves no read with a maximum age.
     pub fn age_bound(&self, instance: &InstanceName, now: ClockTime) -> Option<Duration> {
         let position = self.counted_position(instance)?;
-        let fresh = self.history.last_covered(position)?;
+        let fresh = self.samples.last_covered_at(position)?;
         Some(now.since(fresh))
     }
 
-    /// Returns how long a majority has lacked something that the primary holds: what a write has to wait
-    /// for at least.
+    /// Returns how long a majority has lacked a position that the primary holds, which is the least
+    /// time that a write must wait.
     ///
-    /// `None` means that it isn't known, as right after a promotion. Only what was seen counts. The
-    /// [`age_bound`](Self::age_bound) also grows while nothing is heard of a primary that stands still;
-    /// writes that a majority would have held at once were refused by it.
+    /// `None` if it is unknown, as right after a promotion. Only observed positions count.
+    /// [`age_bound`](Self::age_bound) isn't suitable here: it also grows while no status arrives
+    /// from an idle primary, and it caused writes to be refused that a majority would have held at
+    /// once.
     pub fn majority_lag(&self, now: ClockTime) -> Option<Duration> {
         let instances = self.instances.iter();
         let mut lags: SmallVec<[Duration; 4]> = instances
             .filter_map(|instance| match self.primary.as_ref() == Some(instance) {
                 true => Some(Duration::ZERO),
-                false => self.shown_lag(instance, now),
+                false => self.observed_lag(instance, now),
             })
             .collect();
         lags.sort_unstable();
         lags.get(majority(self.instances.len()) - 1).copied()
     }
 
-    /// Returns how long an instance has lacked something that the primary was seen to hold.
-    fn shown_lag(&self, instance: &InstanceName, now: ClockTime) -> Option<Duration> {
+    /// Returns how long an instance has lacked a position that the primary was observed to hold.
+    fn observed_lag(&self, instance: &InstanceName, now: ClockTime) -> Option<Duration> {
         let position = self.counted_position(instance)?;
-        let passed = self.history.passed_since(position);
-        Some(passed.map_or(Duration::ZERO, |since| now.since(since)))
+        let overtaken = self.samples.overtaken_since(position);
+        Some(overtaken.map_or(Duration::ZERO, |since| now.since(since)))
     }
 
-    /// Returns an instance's position, if it follows the present term.
+    /// Returns an instance's position if the instance holds the present term's log.
     pub fn counted_position(&self, instance: &InstanceName) -> Option<LogPosition> {
         let status = self.reports.get(instance)?;
-        self.counts(status).then_some(status.position)
+        self.holds_term_log(status).then_some(status.position)
     }
 
-    /// Returns the position that all instances of the set have passed in the present term, for
-    /// forgetting sessions.
+    /// Returns the position that all instances of the set have passed in the present term. Session
+    /// positions up to it can be discarded.
     pub fn passed_by_all(&self) -> Option<LogPosition> {
         let positions = self
             .instances
@@ -450,10 +455,11 @@
         positions.min().flatten()
     }
 
-    /// Says whether an instance holds the present term's log.
+    /// Returns whether an instance holds the present term's log.
     ///
-    /// One that follows the term but hasn't reached its start yet lacks writes of earlier terms.
-    fn counts(&self, status: &InstanceStatus) -> bool {
+    /// An instance that follows the term but hasn't reached its first position lacks writes of
+    /// earlier terms.
+    fn holds_term_log(&self, status: &InstanceStatus) -> bool {
         let reached = status.position.index >= self.start.index;
         status.fenced_term == self.term && status.position.term == self.term && reached
     }
@@ -500,7 +506,7 @@
         progress
     }
 
-    /// Counts anew, in another way, that a write is held by a majority before it is released.
+    /// Checks, by an independent count, that a majority holds a write before it is released.
     fn check_release(&self, position: LogPosition) {
         let holds = |name: &&InstanceName| {
             let status = self.reports.get(*name);
@@ -519,7 +525,7 @@
     }
 }
 
-/// Returns the smallest number of instances that is more than half of `count`.
+/// Returns the smallest number of instances that is a majority of `count`.
 pub fn majority(count: usize) -> usize {
     count / 2 + 1
 }
--- a/crates/control/src/record.rs
+++ b/crates/control/src/record.rs
@@ -1,60 +1,60 @@
-//! The file that keeps a node's durable state.
+//! The file that stores a node's durable state.
 //!
-//! The file is text. Each batch of writes that is synced at once is one record on a line of its
-//! own: length, checksum of the payload and checksum of these two, each as eight hexadecimal
+//! The file is text. Each batch of writes that is synced at once is one record on its own line: the
+//! length of the payload, its checksum and the checksum of these two, each as eight hexadecimal
 //! digits, then the payload as JSON, then a line feed.
 //!
-//! A crash may tear the last record, because its sync was never confirmed: bytes are missing at
-//! the end of the file, or blocks that were never written read as zeros. Such a tail is cut.
-//! Anything else is corruption of bytes that were synced and vouched for. If it were skipped, the
-//! node would forget a vote or an entry that others count on, and an operator would notice only
-//! when an accepted change is gone; so it is reported with its place, and the node must not start.
-//! Text holds no zero byte, which is how the two are told apart.
+//! A crash may tear the last record, because its sync was never confirmed: bytes are missing at the
+//! end of the file, or blocks that were never written read as zeros. Such a tail is cut off. Any
+//! other damage is corruption of synced bytes. If it were skipped, the node would forget a vote or
+//! an entry on which others rely, and an operator would only notice that an accepted change is
+//! gone. It is therefore reported with its offset, and the node must not start. Text contains no
+//! zero byte, which distinguishes the two cases.
 
 use crate::agreement::DiskWrite;
 use crate::agreement::DurableState;
 use crate::agreement::WriteMismatch;
 use std::fmt;
 
-/// The digits of one number in a record's header.
+/// Hexadecimal digits of one number in a record's header.
 const NUMBER_DIGITS: usize = 8;
-/// Three numbers, each followed by a space.
+/// Length of a record's header in bytes: three numbers, each followed by a space.
 const HEADER_LENGTH: usize = 3 * (NUMBER_DIGITS + 1);
 
-/// A state read back from records.
+/// A state restored from records.
 ///
-/// The driver must sync the file once before it starts a node from this. A process that ended
-/// between a write and its sync leaves a record that reads back whole but may not be on the disk
-/// yet; a vote or acknowledgement that builds on it would be forgotten if the VM failed next.
+/// The caller must sync the file once before it starts a node from this state. A process that ended
+/// between a write and its sync leaves a record that reads back completely but may not be on disk
+/// yet. A vote or acknowledgement that relies on it would be forgotten if the VM failed next.
 #[derive(Clone, Debug)]
 pub struct RestoredState {
     /// The state.
     pub state: DurableState,
-    /// The length of the valid records in bytes; what lies behind is a torn tail, which must be
-    /// cut off before the next record is appended.
+    /// The length of the valid records in bytes. What follows is a torn tail, which must be cut off
+    /// before the next record is appended.
     pub valid_length: usize,
 }
 
-/// A fault of a record file.
+/// An error in a record file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecordError {
     /// Bytes that had been synced have changed.
     Corrupt {
-        /// Where the damaged record begins, in bytes from the start of the file.
+        /// Offset of the damaged record, in bytes from the start of the file.
         offset: usize,
     },
-    /// A record is intact but holds no writes of this version.
+    /// A record is intact but contains no writes of this version.
     Unreadable {
-        /// Where the record begins, in bytes from the start of the file.
+        /// Offset of the record, in bytes from the start of the file.
         offset: usize,
-        /// What the decoder says.
+        /// The decoder's message.
         reason: String,
     },
-    /// A record is intact but can't follow on those before it.
+    /// A record is intact but doesn't continue the records before it.
     Mismatch {
-        /// Where the record begins, in bytes from the start of the file.
+        /// Offset of the record, in bytes from the start of the file.
         offset: usize,
-        /// What doesn't fit.
+        /// The rule that the record violates.
         mismatch: WriteMismatch,
     },
 }
@@ -75,7 +75,7 @@
 
 impl std::error::Error for RecordError {}
 
-/// Encodes the writes that are synced at once as one record.
+/// Encodes writes that are synced at once as one record.
 ///
 /// # Examples
 ///
@@ -102,11 +102,11 @@
 }
 
 impl DurableState {
-    /// Reads a state back from the records of a file.
+    /// Restores a state from the records of a file.
     ///
     /// # Errors
     ///
-    /// Returns [`RecordError`] with the byte offset when bytes before a torn tail are damaged.
+    /// Returns [`RecordError`] with the byte offset if bytes before a torn tail are damaged.
     pub fn from_records(bytes: &[u8]) -> Result<RestoredState, RecordError> {
         let mut state = Self::default();
         let mut offset = 0;
@@ -127,7 +127,7 @@
         })
     }
 
-    /// Encodes the whole state as one record, to replace a file that has grown long.
+    /// Encodes the whole state as one record, to replace a file that has grown too long.
     pub fn to_records(&self) -> Vec<u8> {
         encode_record(&self.to_writes())
     }
@@ -151,13 +151,13 @@
     Ok(())
 }
 
-/// What stands at one place of a record file.
+/// The result of reading one record.
 enum RecordRead<'a> {
     /// An intact record with this payload.
     Whole(&'a [u8]),
     /// Bytes that a crash may have left behind.
     Torn,
-    /// Bytes that no crash leaves behind.
+    /// Bytes that no crash can leave behind.
     Corrupt,
 }
 
@@ -166,7 +166,7 @@
         return RecordRead::Torn;
     };
     let Some(header) = RecordHeader::parse(header) else {
-        return judge_damage(bytes);
+        return classify_damage(bytes);
     };
     let Some((payload, end)) = rest.split_at_checked(header.length) else {
         return RecordRead::Torn;
@@ -174,12 +174,12 @@
     match end.first() {
         None => return RecordRead::Torn,
         Some(b'\n') if crc32fast::hash(payload) == header.checksum => {}
-        Some(_) => return judge_damage(&bytes[..HEADER_LENGTH + header.length + 1]),
+        Some(_) => return classify_damage(&bytes[..HEADER_LENGTH + header.length + 1]),
     }
     RecordRead::Whole(payload)
 }
 
-fn judge_damage(bytes: &[u8]) -> RecordRead<'static> {
+fn classify_damage(bytes: &[u8]) -> RecordRead<'static> {
     if bytes.contains(&0) {
         RecordRead::Torn
     } else {
@@ -220,8 +220,8 @@
         return None;
     }
     let text = std::str::from_utf8(digits).ok()?;
-    // The checksum in a header covers the other numbers but not itself, so that its own digits
-    // must be exactly those that were written.
+    // A header's checksum covers its other numbers but not itself, so its own digits must be
+    // exactly those that were written.
     let number = u32::from_str_radix(text, 16).ok()?;
     (format!("{number:08x}") == text).then_some(number)
 }
--- a/crates/control/src/recovery.rs
+++ b/crates/control/src/recovery.rs
@@ -1,4 +1,4 @@
-//! What a new leaseholder makes of the journal copies that survived.
+//! Recovery of the journal by a new leaseholder, from the copies that survived.
 
 use crate::keys::CLOCK_TOLERANCE_MS;
 use crate::keys::KeyTable;
@@ -8,16 +8,16 @@
 use ragwort_types::PlacementEpoch;
 use ragwort_types::VmName;
 
-/// A copy of the journal, and the VM that held it.
+/// A copy of the journal and the VM that held it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JournalSource {
-    /// The VM that answered.
+    /// The VM that replied.
     pub vm: VmName,
-    /// What it held.
+    /// The copy that it held.
     pub copy: JournalCopy,
 }
 
-/// The journal that a new leaseholder starts from.
+/// The journal with which a new leaseholder starts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecoveredJournal {
     pub(crate) keys: KeyTable,
@@ -26,25 +26,26 @@
 }
 
 impl RecoveredJournal {
-    /// Says whether every dispatched key is known.
+    /// Returns whether every dispatched key is known.
     ///
-    /// If not, keys made before the takeover are answered as possibly run, and the leaseholder must
-    /// set the sessions' floor before it serves reads from replicas.
+    /// If not, resends with keys made before the takeover are told that they may have run, and the
+    /// leaseholder must set the sessions' floor before replicas serve reads.
     pub fn is_complete(&self) -> bool {
         self.complete
     }
 }
 
-/// Merges the copies that survived, for a leaseholder that takes over.
+/// Merges the surviving copies, for a leaseholder that takes over.
 ///
-/// `confirmed` is the last epoch whose journal the agreed log shows as whole at every standby;
-/// `takeover_ms` is the wall clock, in milliseconds since the Unix epoch, after the former
-/// leaseholder's lease has ended.
+/// `confirmed` is the last epoch whose journal was complete at every standby according to the
+/// agreed log. `takeover_ms` is the wall clock, in milliseconds since the Unix epoch, after the
+/// former leaseholder's lease has ended.
 ///
-/// The result is complete if one whole copy of the confirmed epoch or a later one survived. A
-/// leaseholder dispatches nothing before its epoch is confirmed, and nothing in it before all its
-/// standbys hold the key. So a whole copy of the confirmed epoch holds every dispatched key, and a
-/// whole copy of a later epoch was made from such a one. An older copy proves nothing.
+/// The result is complete if a complete copy of the confirmed or a later epoch survived. A
+/// leaseholder dispatches nothing before its epoch is confirmed, and in this epoch nothing before
+/// all its standbys hold the key. A complete copy of the confirmed epoch thus holds every
+/// dispatched key, and a complete copy of a later epoch was made from such a copy. An older copy
+/// proves nothing.
 pub fn recover_journal(
     sources: &[JournalSource],
     confirmed: PlacementEpoch,
@@ -56,14 +57,14 @@
     let mut keys = KeyTable::default();
     let mut sessions = match complete {
         true => SessionPositions::new(),
-        false => SessionPositions::new_lost(),
+        false => SessionPositions::with_unknown_floor(),
     };
     for source in sources {
         let (found, positions) = load_entries(&source.copy.entries);
         keys.merge(found);
         let floor_unknown = complete && proves(source) && positions.floor().is_none();
         if floor_unknown {
-            sessions = SessionPositions::new_lost();
+            sessions = SessionPositions::with_unknown_floor();
         }
     }
     for source in sources {
@@ -86,8 +87,8 @@
             ragwort_types::JournalEntry::SessionPosition(record) => {
                 sessions.note(&record);
             }
-            // A floor from a copy is a promise about replicas, and holds whatever else was lost;
-            // but it can't stand for sessions that were lost after it.
+            // A copy's floor states what the replicas have passed, which holds whatever else was
+            // lost. But it can't replace the positions of sessions that were lost after it was set.
             ragwort_types::JournalEntry::SessionFloor(position) if sessions.floor().is_some() => {
                 sessions.raise_floor(position);
             }
--- a/crates/control/src/replacement.rs
+++ b/crates/control/src/replacement.rs
@@ -1,8 +1,9 @@
-//! Replaces the primary of a group whose databases keep terms of their own.
+//! Replacement of the primary in a group whose databases manage roles and terms themselves.
 //!
-//! The leaseholder can't make an instance the primary; it orders that, and the order may be carried
-//! out at once, seconds later, or never. So it believes the instances: a replacement is over when an
-//! instance leads, and an order without effect is followed by a new one with a higher number.
+//! The leaseholder can't promote an instance itself. It orders a promotion from an external
+//! service, which may carry the order out at once, seconds later, or never. Only the instances' own
+//! reports therefore count: a replacement ends when an instance is the primary, and an order
+//! without effect is followed by another with a higher fencing token.
 
 use crate::ClockTime;
 use crate::native_roles::RoleReport;
@@ -18,46 +19,46 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// How long the instances are given to say how far they are. One that is up answers in a few
-/// milliseconds unless all its slots are taken by long runs.
-const ASK_TIME: Duration = Duration::from_millis(150);
+/// Longest wait for the instances' reports. A running instance replies within a few milliseconds
+/// unless all its slots are taken by long requests.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// The pause before a step is tried again.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before a step is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// How long an order is given to show before everything is looked at again. Promotions take 600 to
-/// 1,000 ms; one that takes longer is only ordered again, which changes nothing for it.
-const LOOK_TIME: Duration = Duration::from_millis(2_500);
+/// Time after an accepted order until the instances are asked again. Promotions take 600 to 1,000
+/// ms; a slower one is only ordered again, which doesn't disturb it.
+const PROMOTION_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// What a replacement asks its driver to do.
+/// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplacementAction {
-    /// Ask every instance but the one to be replaced for its report.
+    /// Request a report from every instance except the one that is replaced.
     AskInstances,
-    /// Ask the agreed log for a number for the promotion of this instance.
+    /// Request a fencing token for the promotion of this instance from the agreed log.
     ProposeNumber(InstanceName),
-    /// Order the promotion of this instance under this number.
+    /// Order the promotion of this instance with this fencing token.
     GiveOrder(InstanceName, u64),
 }
 
-/// Actions in the order in which they are to be done.
+/// Actions in the order in which they must be carried out.
 pub type ReplacementActions = SmallVec<[ReplacementAction; 2]>;
 
-/// The course of one group's replacements.
+/// State machine that replaces one group's primary.
 #[derive(Clone, Debug)]
 pub struct PrimaryReplacement {
     state: ReplacementState,
     replaced: Option<InstanceName>,
-    awaited: BTreeSet<InstanceName>,
+    pending_reports: BTreeSet<InstanceName>,
     reports: BTreeMap<InstanceName, RoleReport>,
     candidate: Option<InstanceName>,
-    number: Option<u64>,
-    asked_at: ClockTime,
+    token: Option<u64>,
+    reports_requested_at: ClockTime,
     retry_at: Option<ClockTime>,
-    /// What the candidate should have received.
-    wanted: LogPosition,
-    /// When a candidate that has received less is taken all the same.
-    patience_end: ClockTime,
+    /// The position that the candidate should have received.
+    required_position: LogPosition,
+    /// When a candidate that has received less is accepted nevertheless.
+    catch_up_deadline: ClockTime,
 }
 
 impl Default for PrimaryReplacement {
@@ -65,103 +66,104 @@
         Self {
             state: ReplacementState::Steady,
             replaced: None,
-            awaited: BTreeSet::new(),
+            pending_reports: BTreeSet::new(),
             reports: BTreeMap::new(),
             candidate: None,
-            number: None,
-            asked_at: ClockTime::default(),
+            token: None,
+            reports_requested_at: ClockTime::default(),
             retry_at: None,
-            wanted: LogPosition::default(),
-            patience_end: ClockTime::default(),
+            required_position: LogPosition::default(),
+            catch_up_deadline: ClockTime::default(),
         }
     }
 }
 
 impl PrimaryReplacement {
-    /// Returns where the replacement stands.
+    /// Returns the state.
     pub fn state(&self) -> ReplacementState {
         self.state
     }
 
-    /// Returns the instance that is to be promoted.
+    /// Returns the instance to promote.
     pub fn candidate(&self) -> Option<&InstanceName> {
         self.candidate.as_ref()
     }
 
-    /// Returns the instance that is to be replaced; none if the group had no primary.
+    /// Returns the instance that is being replaced; `None` if the group had no primary.
     pub fn replaced(&self) -> Option<&InstanceName> {
         self.replaced.as_ref()
     }
 
-    /// Begins to replace an instance, unless a replacement runs already.
+    /// Begins to replace an instance, unless a replacement is in progress.
     ///
-    /// A candidate that lacks what was acknowledged is waited for, for `patience` at most: what it
-    /// lacks is lost to its callers.
+    /// If no candidate has received all acknowledged writes, a better one is awaited for
+    /// `catch_up_time` at most: the writes that the candidate lacks are lost.
     pub fn begin(
         &mut self,
         now: ClockTime,
         replaced: Option<&InstanceName>,
-        wanted: LogPosition,
-        patience: Duration,
+        required_position: LogPosition,
+        catch_up_time: Duration,
     ) -> ReplacementActions {
         if self.state == ReplacementState::Steady {
             self.replaced = replaced.cloned();
-            self.wanted = wanted;
-            self.patience_end = now + patience;
+            self.required_position = required_position;
+            self.catch_up_deadline = now + catch_up_time;
         }
         self.handle(now, ReplacementEvent::Wanted)
     }
 
-    /// Notes whom the driver has asked.
+    /// Records the instances that the caller has asked for a report.
     pub fn note_asked(&mut self, now: ClockTime, asked: impl IntoIterator<Item = InstanceName>) {
-        self.awaited = asked.into_iter().collect();
+        self.pending_reports = asked.into_iter().collect();
         self.reports.clear();
-        self.asked_at = now;
+        self.reports_requested_at = now;
     }
 
-    /// Takes an instance's answer; `None` if it gave none.
+    /// Processes an instance's report; `None` if it failed to give one.
     pub fn take_report(
         &mut self,
         now: ClockTime,
         instance: &InstanceName,
         report: Option<RoleReport>,
     ) -> ReplacementActions {
-        if !self.awaited.remove(instance) {
+        if !self.pending_reports.remove(instance) {
             return ReplacementActions::new();
         }
         self.reports
             .extend(report.map(|report| (instance.clone(), report)));
-        match self.awaited.is_empty() {
+        match self.pending_reports.is_empty() {
             true => self.handle(now, ReplacementEvent::AskedEnough),
             false => ReplacementActions::new(),
         }
     }
 
-    /// Takes the number that the agreed log has issued.
-    pub fn take_number(&mut self, now: ClockTime, number: u64) -> ReplacementActions {
-        self.number = Some(number);
+    /// Processes the fencing token that the agreed log has issued.
+    pub fn take_number(&mut self, now: ClockTime, token: u64) -> ReplacementActions {
+        self.token = Some(token);
         self.handle(now, ReplacementEvent::NumberIssued)
     }
 
-    /// Notes that an instance leads.
+    /// Records that an instance is the primary.
     ///
-    /// The one that is being replaced counts only while nothing was ordered yet and it may stay.
+    /// The instance that is being replaced counts only if it may stay and nothing has been ordered
+    /// yet.
     pub fn note_primary(&mut self, now: ClockTime, primary: &InstanceName, may_stay: bool) {
-        let same = self.replaced.as_ref() == Some(primary);
-        let undone = matches!(
+        let is_replaced = self.replaced.as_ref() == Some(primary);
+        let not_ordered = matches!(
             self.state,
             ReplacementState::Asking | ReplacementState::Numbering
         );
-        if !same || (undone && may_stay) {
+        if !is_replaced || (not_ordered && may_stay) {
             self.handle(now, ReplacementEvent::PrimaryFound);
         }
     }
 
-    /// Does what is due by time.
+    /// Processes the timeouts that have expired.
     pub fn tick(&mut self, now: ClockTime) -> ReplacementActions {
         let asking = self.state == ReplacementState::Asking && self.retry_at.is_none();
-        if asking && now.since(self.asked_at) >= ASK_TIME {
-            self.awaited.clear();
+        if asking && now.since(self.reports_requested_at) >= REPORT_TIMEOUT {
+            self.pending_reports.clear();
             return self.handle(now, ReplacementEvent::AskedEnough);
         }
         if self.retry_at.is_some_and(|due| now >= due) {
@@ -170,7 +172,7 @@
         ReplacementActions::new()
     }
 
-    /// Takes an event.
+    /// Processes an event.
     pub fn handle(&mut self, now: ClockTime, event: ReplacementEvent) -> ReplacementActions {
         let candidate = self.choose_candidate(now);
         let step = replacement_chart().step(self.state, event, |guard| match guard {
@@ -195,38 +197,39 @@
     ) -> Option<ReplacementAction> {
         match step {
             ReplacementStep::AskInstances => {
-                self.asked_at = now;
+                self.reports_requested_at = now;
                 Some(ReplacementAction::AskInstances)
             }
             ReplacementStep::ProposeNumber => {
                 self.candidate = candidate.cloned();
-                self.number = None;
+                self.token = None;
                 self.candidate.clone().map(ReplacementAction::ProposeNumber)
             }
             ReplacementStep::GiveOrder => {
-                let order = self.candidate.clone().zip(self.number);
-                order.map(|(instance, number)| ReplacementAction::GiveOrder(instance, number))
+                let order = self.candidate.clone().zip(self.token);
+                order.map(|(instance, token)| ReplacementAction::GiveOrder(instance, token))
             }
             ReplacementStep::ScheduleRetry => {
-                self.retry_at = Some(now + RETRY_PAUSE);
+                self.retry_at = Some(now + RETRY_DELAY);
                 None
             }
             ReplacementStep::ScheduleLook => {
-                self.retry_at = Some(now + LOOK_TIME);
+                self.retry_at = Some(now + PROMOTION_TIMEOUT);
                 None
             }
         }
     }
 
-    /// Chooses the instance that has received most: what it lacks is lost.
+    /// Chooses the instance that has received the most; the writes that it lacks are lost.
     fn choose_candidate(&self, now: ClockTime) -> Option<InstanceName> {
         let others = self
             .reports
             .iter()
             .filter(|(instance, _)| self.replaced.as_ref() != Some(instance));
         let best = others.max_by_key(|(_, report)| report.received);
-        let patient = now < self.patience_end;
-        let whole = best.filter(|(_, report)| report.received >= self.wanted || !patient);
-        whole.map(|(instance, _)| instance.clone())
+        let may_wait = now < self.catch_up_deadline;
+        let eligible =
+            best.filter(|(_, report)| report.received >= self.required_position || !may_wait);
+        eligible.map(|(instance, _)| instance.clone())
     }
 }
--- a/crates/control/src/replacement_chart.rs
+++ b/crates/control/src/replacement_chart.rs
@@ -1,4 +1,4 @@
-//! The names in the chart of a primary's replacement.
+//! States, events, guards and actions of the chart for the replacement of a primary.
 
 use crate::chart::ChartVocabulary;
 use crate::chart::StateChart;
@@ -6,74 +6,75 @@
 use std::sync::LazyLock;
 
 chart_names! {
-    /// Where a replacement stands.
+    /// State of a replacement.
     ReplacementState {
-        /// The group has its primary, or nothing was found to be wrong yet.
+        /// The group has its primary, or no fault was detected yet.
         Steady,
-        /// The other instances are asked how far they are.
+        /// The other instances are asked for their positions.
         Asking,
-        /// The agreed log is asked for a number.
+        /// The agreed log is asked for a fencing token.
         Numbering,
-        /// The promotion is ordered.
+        /// The promotion is being ordered.
         Ordering,
-        /// The order may be carried out.
+        /// The order was accepted, and its effect is awaited.
         Watching,
     }
 }
 
 chart_names! {
-    /// What happens to a replacement.
+    /// Event in a replacement.
     ReplacementEvent {
-        /// The primary is taken for dead, or leaves.
+        /// The primary is suspected, or it is leaving.
         Wanted,
-        /// All have answered, or there was time enough.
+        /// All instances have replied, or the time for it is over.
         AskedEnough,
-        /// The agreed log has issued a number.
+        /// The agreed log has issued a fencing token.
         NumberIssued,
-        /// The agreed log refuses one, as another VM leads the group.
+        /// The agreed log refused a fencing token because another VM leads the group.
         NumberRefused,
-        /// Whether a number was issued isn't known.
+        /// The reply to the request for a fencing token was lost.
         NumberUnknown,
-        /// The order is being carried out.
+        /// The promotion service accepted the order.
         OrderAccepted,
-        /// A later order was seen, or the instance doesn't run.
+        /// The service has seen a later order, or the instance isn't running.
         OrderOvertaken,
-        /// The order was not taken.
+        /// The service didn't accept the order.
         OrderUntaken,
-        /// Whether the order was taken isn't known.
+        /// The reply to the order was lost.
         OrderUnknown,
-        /// An instance leads that may be used.
+        /// A usable instance is the primary.
         PrimaryFound,
-        /// The time for a retry has come.
+        /// The retry time was reached.
         RetryDue,
     }
 }
 
 chart_names! {
-    /// What a replacement's course depends on.
+    /// Condition of a transition.
     ReplacementGuard {
-        /// An instance has answered that may be promoted.
+        /// An instance that may be promoted has replied.
         HasCandidate,
     }
 }
 
 chart_names! {
-    /// What a replacement does.
+    /// Action of a transition.
     ReplacementStep {
-        /// Asks the other instances how far they are.
+        /// Asks the other instances for their positions.
         AskInstances,
-        /// Chooses the instance that is furthest, and asks the agreed log for a number.
+        /// Chooses the instance with the highest position and requests a fencing token from the
+        /// agreed log.
         ProposeNumber,
         /// Orders the promotion.
         GiveOrder,
-        /// Waits for the next retry.
+        /// Schedules a retry.
         ScheduleRetry,
-        /// Waits for the promotion to show.
+        /// Schedules a check whether the promotion took effect.
         ScheduleLook,
     }
 }
 
-/// The names in the chart of a primary's replacement.
+/// Vocabulary of the chart for the replacement of a primary.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplacementVocabulary;
 
@@ -84,7 +85,7 @@
     type Action = ReplacementStep;
 }
 
-/// Returns the chart of a primary's replacement.
+/// Returns the chart for the replacement of a primary.
 pub fn replacement_chart() -> &'static StateChart<ReplacementVocabulary> {
     static CHART: LazyLock<StateChart<ReplacementVocabulary>> =
         LazyLock::new(|| StateChart::from_yaml(include_str!("../charts/replacement.yaml")));
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -14,9 +14,9 @@
 #[derive(Clone, Debug)]
 pub struct JournalReplica {
     group: GroupName,
-    /// Appends of earlier epochs are refused.
+    /// The lowest epoch of which appends are accepted.
     promised: PlacementEpoch,
-    /// The epoch that the entries were written under.
+    /// The epoch under which the entries were written.
     held_epoch: PlacementEpoch,
     complete: bool,
     next: u64,
@@ -27,8 +27,8 @@
 impl JournalReplica {
     /// Creates an empty copy on a VM whose catalog shows the group at an epoch.
     ///
-    /// Appends of earlier epochs, which may have been meant for a former process on this VM, are
-    /// refused: they would make the copy look whole when it isn't.
+    /// Appends of earlier epochs, which may have been sent to a former process on this VM, are
+    /// refused: they would make the copy look complete when it isn't.
     pub fn new(group: GroupName, epoch: PlacementEpoch) -> Self {
         Self {
             group,
@@ -46,7 +46,7 @@
         &self.group
     }
 
-    /// Holds the entries of an append.
+    /// Applies an append.
     pub fn append(&mut self, append: &JournalAppend) -> JournalReply {
         if append.epoch < self.promised {
             return JournalReply::StaleEpoch(self.promised);
@@ -54,8 +54,8 @@
         self.promised = append.epoch;
         let same_epoch = self.complete && append.epoch == self.held_epoch;
         match append.reset {
-            // A reset that was sent again and overtaken would throw away what came after it, which
-            // the leaseholder counts as held.
+            // A delayed duplicate of a reset would discard the entries after it, which the
+            // leaseholder counts as held.
             true if same_epoch && append.sequence <= self.next => {}
             true => self.replace(append),
             false if !same_epoch || append.sequence > self.next => return JournalReply::Gap,
@@ -64,7 +64,7 @@
         JournalReply::Held(self.next)
     }
 
-    /// Hands the copy to a leaseholder of a later epoch and refuses earlier epochs from then on.
+    /// Returns the copy to a leaseholder of a later epoch and refuses earlier epochs from then on.
     pub fn read(&mut self, request: &JournalRequest) -> JournalCopy {
         self.promised = self.promised.max(request.epoch);
         let mut entries = self.keys.to_entries();
@@ -94,14 +94,14 @@
     }
 }
 
-/// Builds the tables that a whole journal's entries stand for.
+/// Builds the tables from the entries of a whole journal.
 pub(crate) fn load_entries(entries: &[JournalEntry]) -> (KeyTable, SessionPositions) {
     let mut keys = KeyTable::default();
     let lost = entries
         .iter()
         .any(|entry| matches!(entry, JournalEntry::KeysLost(_)));
     let mut sessions = match lost {
-        true => SessionPositions::new_lost(),
+        true => SessionPositions::with_unknown_floor(),
         false => SessionPositions::new(),
     };
     for entry in entries {
--- a/crates/control/src/replica_estimate.rs
+++ b/crates/control/src/replica_estimate.rs
@@ -1,160 +1,157 @@
-//! How far a replica is taken to be, between the moments at which it shows it.
+//! Estimate of a replica's position between its answers.
 //!
-//! # The load it answers
+//! Replicas may lag by seconds while hundreds of reads a second accept data of limited age, and a
+//! replica's position can't be queried without taking one of its slots. A read sent to a replica
+//! that lags too much is refused and loses a round trip. A read kept from a replica that is recent
+//! enough takes one of the primary's slots, which are only a third of all slots.
 //!
-//! Replicas fall behind by seconds while hundreds of reads a second allow data of some age. Nobody
-//! says how far a replica is without taking one of its slots.
-//!
-//! # Without it
-//!
-//! A read that is sent to a replica that lacks too much is refused and loses a round trip. One that is
-//! kept from a replica that has enough takes one of the primary's few slots, which are a third of all.
-//!
-//! # Grounds for its figures
-//!
-//! Each answer tells where the replica's log stands, also a refusal. So a refusal needs no guess: the
-//! lag is what the position shows, and the replica is trusted with that position only until a pause
-//! is over, which doubles while it makes no progress. Refusals of reads that were sent before the first
-//! one came tell the same thing and change nothing. When nothing was heard of a replica for
-//! [`TRIAL_AFTER`] its assumed lag halves each [`RELAX_TIME`], so that a read is tried there within a
-//! few tenths of a second of its recovery. A lag that each refusal doubled would keep reads away from
-//! a replica for seconds after it has caught up.
+//! Every answer contains the replica's log position, including a refusal. After a refusal the lag
+//! is therefore known, and the replica is assumed to hold no more than the reported position during
+//! a backoff that doubles while the replica makes no progress. Further refusals of reads that were
+//! sent before the first refusal arrived are ignored. If a replica hasn't answered for
+//! [`DECAY_DELAY`], its assumed lag halves every [`LAG_HALF_LIFE`], so that a read is tried within
+//! a few tenths of a second after it has caught up. Doubling the lag at each refusal instead would
+//! keep reads away for seconds after that.
 
 use crate::ClockTime;
 use crate::PositionHistory;
 use ragwort_types::LogPosition;
 use std::time::Duration;
 
-/// What is assumed of a replica's lag before one was seen.
-const FIRST_LAG: Duration = Duration::from_millis(60);
+/// Assumed lag before the first answer.
+const INITIAL_LAG: Duration = Duration::from_millis(60);
 
-/// What is added to a lag that was seen, since the next one may be longer.
+/// Margin added to an observed lag, because the next one may be longer.
 const LAG_MARGIN: Duration = Duration::from_millis(15);
 
-/// The time without any answer after which the assumed lag shrinks.
-const TRIAL_AFTER: Duration = Duration::from_millis(100);
+/// Time without an answer after which the assumed lag decays.
+const DECAY_DELAY: Duration = Duration::from_millis(100);
 
-/// The time in which it halves then. Each trial that it brings costs one refused read, tried elsewhere
-/// within a round trip.
-const RELAX_TIME: Duration = Duration::from_millis(100);
+/// Half-life of the decay. Each trial that it causes costs at most one refused read, which is
+/// retried elsewhere within a round trip.
+const LAG_HALF_LIFE: Duration = Duration::from_millis(100);
 
-/// The longest lag that is told apart; a replica that receives nothing gets there.
-const LONGEST_LAG: Duration = Duration::from_secs(30);
+/// Upper limit of the lag; a replica that receives nothing reaches it.
+const MAX_LAG: Duration = Duration::from_secs(30);
 
-/// How long a replica that lacked a position is trusted with what it has shown only.
-const FIRST_PAUSE: Duration = Duration::from_millis(20);
+/// Time after a refusal during which a replica is assumed to hold only the position that it
+/// reported.
+const MIN_BACKOFF: Duration = Duration::from_millis(20);
 
-/// The longest such pause, for a replica that makes no progress.
-const LONGEST_PAUSE: Duration = Duration::from_millis(160);
+/// Longest backoff, for a replica that makes no progress.
+const MAX_BACKOFF: Duration = Duration::from_millis(160);
 
-/// The part of the difference to a shorter lag that one answer makes good.
-const SHRINK_PART: u32 = 4;
+/// Divisor of the difference by which one answer with a shorter lag lowers the assumed lag.
+const LAG_DECREASE_DIVISOR: u32 = 4;
 
-/// How far a replica is assumed to be.
+/// The estimated position of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicaEstimate {
     lag: Duration,
-    /// When the replica last showed or refused something.
-    seen: ClockTime,
-    /// What its last answer showed it to hold.
-    shown: LogPosition,
-    /// A position that it lacked.
-    lacked: Option<LackedPosition>,
-    /// The pause after the last refusal, and what the replica held then.
-    pause: Duration,
-    stood: LogPosition,
+    /// When the replica last answered or refused a read.
+    last_answer_at: ClockTime,
+    /// The position in its last answer.
+    reported_position: LogPosition,
+    /// A position that it was found to lack.
+    missing: Option<MissingPosition>,
+    /// The backoff after the last refusal, and the replica's position at that time.
+    backoff: Duration,
+    position_at_refusal: LogPosition,
 }
 
-/// A position that a replica lacked.
+/// A position that a replica lacks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct LackedPosition {
+struct MissingPosition {
     position: LogPosition,
-    /// Until when it is taken to lack it still.
+    /// When the replica is no longer assumed to lack it.
     until: ClockTime,
-    /// Whether the replica said where it stands; nothing beyond that is assumed then.
-    stands: bool,
+    /// Whether the refusal contained the replica's position; if so, nothing beyond that position is
+    /// assumed.
+    is_reported: bool,
 }
 
 impl Default for ReplicaEstimate {
     fn default() -> Self {
         Self {
-            lag: FIRST_LAG,
-            seen: ClockTime::default(),
-            shown: LogPosition::default(),
-            lacked: None,
-            pause: FIRST_PAUSE,
-            stood: LogPosition::default(),
+            lag: INITIAL_LAG,
+            last_answer_at: ClockTime::default(),
+            reported_position: LogPosition::default(),
+            missing: None,
+            backoff: MIN_BACKOFF,
+            position_at_refusal: LogPosition::default(),
         }
     }
 }
 
 impl ReplicaEstimate {
-    /// Returns the lag that is assumed.
+    /// Returns the assumed lag.
     pub fn lag(&self, now: ClockTime) -> Duration {
-        let quiet = now.since(self.seen).saturating_sub(TRIAL_AFTER);
-        let halvings = quiet.as_secs_f64() / RELAX_TIME.as_secs_f64();
+        let silence = now.since(self.last_answer_at).saturating_sub(DECAY_DELAY);
+        let halvings = silence.as_secs_f64() / LAG_HALF_LIFE.as_secs_f64();
         self.lag.div_f64(2_f64.powf(halvings)).max(LAG_MARGIN)
     }
 
-    /// Returns what the replica is assumed to hold.
+    /// Returns the position that the replica is assumed to hold.
     pub fn assume(&self, now: ClockTime, history: &PositionHistory) -> LogPosition {
         let assumed = history.required(now, self.lag(now));
-        let lacked = self.lacked.filter(|lacked| now < lacked.until);
-        match lacked {
-            Some(lacked) if lacked.stands || assumed >= lacked.position => self.shown,
-            _ => assumed.max(self.shown),
+        let missing = self.missing.filter(|missing| now < missing.until);
+        match missing {
+            Some(missing) if missing.is_reported || assumed >= missing.position => {
+                self.reported_position
+            }
+            _ => assumed.max(self.reported_position),
         }
     }
 
-    /// Learns from an answer that showed where the replica stood.
+    /// Records an answer that contained the replica's position.
     pub fn learn(&mut self, now: ClockTime, position: LogPosition, history: &PositionHistory) {
-        self.seen = now;
-        self.shown = position;
+        self.last_answer_at = now;
+        self.reported_position = position;
         if position < history.start() {
-            // How long it is behind isn't known, but it lacks what this primary began with.
-            self.lacked = Some(LackedPosition {
+            // The lag is unknown, but the replica lacks the position at which this primary began.
+            self.missing = Some(MissingPosition {
                 position: history.start(),
                 until: now + self.lag,
-                stands: false,
+                is_reported: false,
             });
             return;
         }
-        self.lacked = self.lacked.filter(|lacked| position < lacked.position);
-        let shown = (history.lag_of(now, position) + LAG_MARGIN).min(LONGEST_LAG);
-        self.lag = match self.lag.checked_sub(shown) {
-            Some(excess) => self.lag - excess / SHRINK_PART,
-            None => shown,
+        self.missing = self.missing.filter(|missing| position < missing.position);
+        let observed_lag = (history.lag_of(now, position) + LAG_MARGIN).min(MAX_LAG);
+        self.lag = match self.lag.checked_sub(observed_lag) {
+            Some(excess) => self.lag - excess / LAG_DECREASE_DIVISOR,
+            None => observed_lag,
         };
     }
 
-    /// Learns that the replica lacked a position that it was assumed to hold.
+    /// Records that the replica refused a read because it lacked the position `required`.
     ///
-    /// `stands` is where the refusal said that the replica stands, which is passed to
-    /// [`learn`](Self::learn) first. One that said nothing doubles the lag.
-    pub fn refuse(&mut self, now: ClockTime, wanted: LogPosition, stands: Option<LogPosition>) {
-        if stands.is_none() {
-            // It didn't say where it stands: all that is known is that it's further behind.
-            self.lag = (self.lag(now) * 2).min(LONGEST_LAG);
-            self.seen = now;
-            self.lacked = Some(LackedPosition {
-                position: wanted,
+    /// `reported` is the replica's position according to the refusal, which the caller passes to
+    /// [`learn`](Self::learn) first. A refusal without a position doubles the lag.
+    pub fn refuse(&mut self, now: ClockTime, required: LogPosition, reported: Option<LogPosition>) {
+        if reported.is_none() {
+            // Without a position, the refusal only shows that the replica lags more than assumed.
+            self.lag = (self.lag(now) * 2).min(MAX_LAG);
+            self.last_answer_at = now;
+            self.missing = Some(MissingPosition {
+                position: required,
                 until: now + self.lag,
-                stands: false,
+                is_reported: false,
             });
             return;
         }
-        if self.lacked.is_some_and(|lacked| now < lacked.until) {
+        if self.missing.is_some_and(|missing| now < missing.until) {
             return;
         }
-        self.pause = match self.shown > self.stood {
-            true => FIRST_PAUSE,
-            false => (self.pause * 2).min(LONGEST_PAUSE),
+        self.backoff = match self.reported_position > self.position_at_refusal {
+            true => MIN_BACKOFF,
+            false => (self.backoff * 2).min(MAX_BACKOFF),
         };
-        self.stood = self.shown;
-        self.lacked = Some(LackedPosition {
-            position: wanted,
-            until: now + self.pause,
-            stands: true,
+        self.position_at_refusal = self.reported_position;
+        self.missing = Some(MissingPosition {
+            position: required,
+            until: now + self.backoff,
+            is_reported: true,
         });
     }
 }
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -1,9 +1,9 @@
-//! Where each session's writes reach, so that its reads cover them.
+//! Positions of sessions' writes, which their reads must cover (read your writes).
 //!
-//! A session that moves to another gateway, or is read from a replica that lags behind, must still
-//! see its own writes. Its last position is kept until all replicas have passed it. Then it is
-//! folded into a floor, which every read must cover: otherwise a replica that joins empty later
-//! would serve the session without its writes.
+//! A session that moves to another gateway, or whose read goes to a lagging replica, must still see
+//! its own writes. Its last position is kept until all replicas have passed it. It is then merged
+//! into a floor that every read must cover; otherwise a replica that joins empty later would serve
+//! the session without its writes.
 
 use ragwort_types::CustomerName;
 use ragwort_types::JournalEntry;
@@ -12,10 +12,10 @@
 use ragwort_types::SessionRecord;
 use std::collections::BTreeMap;
 
-/// The positions that sessions' reads must cover, in one group.
+/// The positions that sessions' reads must cover in one group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SessionPositions {
-    /// The position for sessions that are not listed; `None` while it isn't known because the
+    /// The position for sessions that are not listed; `None` while it is unknown because the
     /// journal was lost.
     floor: Option<LogPosition>,
     positions: BTreeMap<CustomerName, BTreeMap<SessionName, LogPosition>>,
@@ -28,7 +28,7 @@
 }
 
 impl SessionPositions {
-    /// Creates an empty list of a group that has had no writes.
+    /// Creates an empty list for a group that has had no writes.
     pub fn new() -> Self {
         Self {
             floor: Some(LogPosition::default()),
@@ -37,7 +37,7 @@
     }
 
     /// Creates the list of a group whose journal was lost.
-    pub fn new_lost() -> Self {
+    pub fn with_unknown_floor() -> Self {
         Self {
             floor: None,
             positions: BTreeMap::new(),
@@ -46,17 +46,17 @@
 
     /// Returns the position that a session's reads must cover.
     ///
-    /// `None` means that it isn't known: the session must read from the primary until
+    /// `None` means that it is unknown: the session must read from the primary until
     /// [`raise_floor`](Self::raise_floor) was called.
     pub fn required(&self, customer: &CustomerName, session: &SessionName) -> Option<LogPosition> {
-        // A listed position may be out of date too, if the entry that moved it was lost.
+        // A listed position may be too low as well, if the entry that raised it was lost.
         let floor = self.floor?;
         let sessions = self.positions.get(customer);
         let listed = sessions.and_then(|sessions| sessions.get(session));
         Some(listed.map_or(floor, |position| floor.max(*position)))
     }
 
-    /// Notes a session's write and says whether it moved the session's position.
+    /// Records a session's write and returns whether it raised the session's position.
     pub fn note(&mut self, record: &SessionRecord) -> bool {
         if self
             .floor
@@ -71,10 +71,10 @@
         moved
     }
 
-    /// Raises the floor and forgets the sessions that it covers.
+    /// Raises the floor and discards the sessions that it covers.
     ///
-    /// After a loss of the journal, the first call sets the floor: to the primary's position, taken
-    /// after the takeover.
+    /// After a loss of the journal, the first call sets the floor to the primary's position,
+    /// requested after the takeover.
     pub fn raise_floor(&mut self, position: LogPosition) {
         let floor = self.floor.unwrap_or_default().max(position);
         self.floor = Some(floor);
@@ -84,7 +84,7 @@
         self.positions.retain(|_, sessions| !sessions.is_empty());
     }
 
-    /// Returns the floor, or `None` while it isn't known.
+    /// Returns the floor, or `None` while it is unknown.
     pub fn floor(&self) -> Option<LogPosition> {
         self.floor
     }
@@ -94,12 +94,12 @@
         self.positions.values().map(BTreeMap::len).sum()
     }
 
-    /// Says whether no session is listed.
+    /// Returns whether no session is listed.
     pub fn is_empty(&self) -> bool {
         self.positions.is_empty()
     }
 
-    /// Writes the list as journal entries.
+    /// Converts the list to journal entries.
     pub fn to_entries(&self) -> Vec<JournalEntry> {
         let mut entries: Vec<JournalEntry> = self
             .floor
--- a/crates/control/src/transfer.rs
+++ b/crates/control/src/transfer.rs
@@ -1,21 +1,16 @@
-//! How the catalog reaches a member: small changes with a heartbeat, everything else in pieces.
+//! Transfer of the catalog to members: small deltas with a heartbeat, everything else in pieces.
 //!
-//! # The load it answers
+//! After a power loss, hundreds of members request a catalog of hundreds of groups at the same
+//! time, each through a link that carries a few hundred kilobytes a second and its callers'
+//! traffic. If the whole catalog were part of the reply to a heartbeat, it would not arrive before
+//! the heartbeat times out; the next heartbeat would request it again, and no member would get a
+//! lease.
 //!
-//! After a loss of power hundreds of members ask for a catalog of hundreds of groups at the same
-//! moment, each through a link that carries some hundred kilobytes a second and its callers' traffic.
-//!
-//! # Without it
-//!
-//! The catalog travels within the answer to a heartbeat. It doesn't arrive before the heartbeat is given
-//! up; the next one asks for the same again, and nobody gets a lease.
-//!
-//! # Why pieces of different control VMs fit together
-//!
-//! Control VMs apply the same changes in the same order. A piece holds what changed last between two
-//! places in that order. Something that changed since the piece was made stands after the place where the
-//! transfer is now, and comes with a later piece; so a transfer is done once it has reached the newest
-//! revision that any of its pieces was made at.
+//! Pieces from different control VMs can be combined, because control VMs apply the same changes in
+//! the same order. A piece contains the items that last changed between two points of that order.
+//! An item that changed since the piece was made is now beyond the transfer's cursor and comes with
+//! a later piece. A transfer is complete when its cursor has reached the newest revision at which
+//! any of its pieces was made.
 
 use crate::catalog::CatalogState;
 use crate::copy::CatalogCopy;
@@ -32,25 +27,25 @@
 use smallvec::SmallVec;
 use std::ops::Bound;
 
-/// The size of a piece before it is compressed, in bytes as [`estimate_bytes`] reckons them.
+/// Size at which a piece is full, in estimated bytes before compression.
 pub const PIECE_BYTES: usize = 96 * 1_024;
 
-/// The largest delta that travels with a heartbeat, reckoned alike. Compressed it passes the narrowest
-/// link many times within a lease.
-const DELTA_BYTES: usize = 12 * 1_024;
+/// Size of the largest delta that is sent with a heartbeat, in estimated bytes before compression.
+/// Compressed, it passes the narrowest link many times within a lease.
+const MAX_DELTA_BYTES: usize = 12 * 1_024;
 
-/// With this many members or fewer, each gateway knows all others.
-const FEW_MEMBERS: usize = 96;
+/// Up to this number of members, each gateway knows all others.
+const FULL_MESH_MEMBERS: usize = 96;
 
-/// One in so many gateways is known to all others where there are more: some dozens are enough to go
-/// round a cut.
-const RELAY_PART: u64 = 4;
+/// With more members, one in so many gateways is known to all others: a few dozen suffice as relays
+/// around a network partition.
+const RELAY_DIVISOR: u64 = 4;
 
 impl CatalogState {
     /// Returns the next piece for a transfer.
     pub fn next_piece(&self, request: &PieceRequest) -> CatalogPiece {
         let asked = &request.cursor;
-        let restarts = self.has_forgotten_since(asked.revision);
+        let restarts = self.lacks_removals_since(asked.revision);
         let start = match restarts {
             true => CatalogCursor::default(),
             false => asked.clone(),
@@ -64,7 +59,7 @@
         };
         let mut bytes = 0;
         for (revision, key) in self.keys_after(&start) {
-            // Whoever holds nothing yet needs no word of what is gone.
+            // A member that holds nothing yet needs no removals.
             let item = match key.is_gone() && begins {
                 true => None,
                 false => self.scoped_item(key, request.scope),
@@ -88,9 +83,9 @@
         piece
     }
 
-    /// Returns what a member lacks, if that is little enough to travel with a heartbeat.
+    /// Returns what a member lacks, if it is small enough to be sent with a heartbeat.
     pub fn short_delta(&self, from: CatalogRevision, scope: CatalogScope) -> Option<CatalogDelta> {
-        if from > CatalogRevision(0) && self.has_forgotten_since(from) {
+        if from > CatalogRevision(0) && self.lacks_removals_since(from) {
             return None;
         }
         let whole = from == CatalogRevision(0);
@@ -113,15 +108,15 @@
                 bytes += estimate_bytes(&item);
                 delta.items.push(item);
             }
-            if bytes > DELTA_BYTES {
+            if bytes > MAX_DELTA_BYTES {
                 return None;
             }
         }
         Some(delta)
     }
 
-    /// Says whether a member lacks what it must not wait for: all but the comings and goings of VMs that
-    /// only carry statements, which a member of that scope hears of with its next heartbeat.
+    /// Returns whether a member lacks an item that must be sent at once: any item but the arrival
+    /// or departure of VMs that only relay statements, which can wait for its next heartbeat.
     pub fn is_pressing(&self, from: CatalogRevision, scope: CatalogScope) -> bool {
         let start = CatalogCursor {
             revision: from,
@@ -138,8 +133,8 @@
         })
     }
 
-    /// Says whether something has departed since a revision of which nothing is known any more.
-    fn has_forgotten_since(&self, from: CatalogRevision) -> bool {
+    /// Returns whether removals after a revision have been forgotten.
+    fn lacks_removals_since(&self, from: CatalogRevision) -> bool {
         from > CatalogRevision(0) && from < self.delta_floor
     }
 
@@ -167,12 +162,12 @@
             CatalogKey::Member(vm) => {
                 let member = self
                     .member(vm)
-                    .filter(|member| self.is_known_to_all(member));
+                    .filter(|member| self.is_visible_to_gateways(member));
                 member.cloned().map(CatalogItem::Member)
             }
             CatalogKey::Group(group) => {
                 let mut record = self.group(group)?.clone();
-                // Only who leads the group has to do with its endpoints.
+                // Only the group's leaseholder uses its endpoints.
                 record.endpoints = Vec::new();
                 record.instances = SmallVec::new();
                 Some(CatalogItem::Group(Box::new(record)))
@@ -185,12 +180,12 @@
         }
     }
 
-    /// Says whether gateways hear of a member: it serves groups, or is one of those by which the others
-    /// go round a cut.
-    fn is_known_to_all(&self, member: &MemberRecord) -> bool {
+    /// Returns whether gateways are told of a member: it serves groups, or it is one of the relays
+    /// around a network partition.
+    fn is_visible_to_gateways(&self, member: &MemberRecord) -> bool {
         serves_groups(member)
-            || self.members.len() <= FEW_MEMBERS
-            || digest_text(member.id.vm.as_str()).is_multiple_of(RELAY_PART)
+            || self.members.len() <= FULL_MESH_MEMBERS
+            || digest_text(member.id.vm.as_str()).is_multiple_of(RELAY_DIVISOR)
     }
 }
 
@@ -198,7 +193,7 @@
     member.traits.control || member.traits.leaseholder
 }
 
-/// Returns about how many bytes an item takes on its way, before it is compressed.
+/// Returns the approximate size of an item on the wire, in bytes before compression.
 fn estimate_bytes(item: &CatalogItem) -> usize {
     const NAME: usize = 48;
     match item {
@@ -215,29 +210,30 @@
     }
 }
 
-/// What a piece brings a transfer to.
+/// The state of a transfer after a piece.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TransferStep {
-    /// The next piece must be asked for.
+    /// The next piece must be requested.
     Ongoing,
-    /// The control VM that was asked is behind another one; it, or another, must be asked again.
+    /// The control VM that replied is behind another one; it, or another, must be asked again.
     Behind,
-    /// The copy is whole.
+    /// The copy is complete.
     Done(CatalogCopy),
 }
 
-/// A member's transfer of the catalog. What has arrived is kept, whoever is asked for the rest.
+/// A member's transfer of the catalog. Items that have arrived are kept when another control VM is
+/// asked for the rest.
 #[derive(Clone, Debug)]
 pub struct CatalogTransfer {
     scope: CatalogScope,
     copy: CatalogCopy,
     cursor: CatalogCursor,
-    /// The newest revision that a piece was made at, or that is asked for.
+    /// The newest revision at which a piece was made, or that was requested.
     needed: CatalogRevision,
 }
 
 impl CatalogTransfer {
-    /// Begins to bring a copy up to a revision.
+    /// Begins to update a copy to a revision.
     pub fn begin(held: &CatalogCopy, scope: CatalogScope, needed: CatalogRevision) -> Self {
         Self {
             scope,
@@ -250,7 +246,7 @@
         }
     }
 
-    /// Returns what to ask a control VM.
+    /// Returns the request for the next piece.
     pub fn to_request(&self) -> PieceRequest {
         PieceRequest {
             scope: self.scope,
@@ -258,12 +254,12 @@
         }
     }
 
-    /// Returns how far it has come.
+    /// Returns the position of the transfer.
     pub fn cursor(&self) -> &CatalogCursor {
         &self.cursor
     }
 
-    /// Takes the answer to the last request.
+    /// Processes the reply to the last request.
     pub fn take(&mut self, piece: &CatalogPiece) -> TransferStep {
         if piece.restarts {
             self.copy = CatalogCopy::new();
--- a/crates/control/src/vocabulary.rs
+++ b/crates/control/src/vocabulary.rs
@@ -1,6 +1,7 @@
-//! The names in the charts of membership, drain and connections.
+//! States, events, guards and actions of the charts for membership, drain and connections.
 //!
-//! The daemon's tasks interpret these charts: they own the sockets that the actions are about.
+//! The daemon's tasks interpret these charts, because they own the sockets on which the actions
+//! operate.
 
 use crate::chart::ChartVocabulary;
 use crate::chart::StateChart;
@@ -8,23 +9,23 @@
 use std::sync::LazyLock;
 
 chart_names! {
-    /// Where a VM's membership stands.
+    /// State of a VM's membership.
     MembershipState {
-        /// It has no lease yet.
+        /// The VM has no lease yet.
         Joining,
-        /// It holds a lease.
+        /// The VM holds a lease.
         Active,
-        /// Its lease has ended.
+        /// The VM's lease has ended.
         Lapsed,
-        /// It is shutting down.
+        /// The VM is shutting down.
         Leaving,
-        /// It is no member any more.
+        /// The VM is no longer a member.
         Stopped,
     }
 }
 
 chart_names! {
-    /// What happens to a VM's membership.
+    /// Event in a VM's membership.
     MembershipEvent {
         /// A heartbeat was answered with a lease.
         LeaseGranted,
@@ -34,27 +35,27 @@
         LeaseEnded,
         /// Another process has joined under this VM's name.
         Superseded,
-        /// The platform or an operator asks for a shutdown.
+        /// The platform or an operator requested a shutdown.
         DrainAsked,
-        /// Nothing is in flight any more.
+        /// No request is in flight.
         Drained,
     }
 }
 
 chart_names! {
-    /// What a VM does about its membership.
+    /// Action of a VM on its membership.
     MembershipAction {
-        /// Become ready.
+        /// Report readiness and accept requests.
         TakeWork,
-        /// Become unready and refuse new work.
+        /// Report unreadiness and refuse new requests.
         RefuseWork,
         /// Stop leading all groups.
         DropGroups,
-        /// Resume the groups that the catalog still gives to this VM.
+        /// Resume the groups that the catalog still assigns to this VM.
         ResumeGroups,
         /// Begin the shutdown.
         BeginDrain,
-        /// Propose the removal from the catalog.
+        /// Propose the VM's removal from the catalog.
         LeaveCatalog,
         /// Stop the process's roles.
         Stop,
@@ -62,47 +63,47 @@
 }
 
 chart_names! {
-    /// Where a daemon's shutdown stands.
+    /// State of a daemon's shutdown.
     DrainState {
-        /// No shutdown was asked for.
+        /// No shutdown was requested.
         Serving,
-        /// The balancer is being told.
+        /// The load balancer is being notified.
         Unready,
-        /// Groups are handed over.
+        /// Groups are being handed over.
         HandingOver,
-        /// Sessions are closed between transactions.
+        /// Sessions are being closed between transactions.
         Closing,
-        /// The last requests end.
+        /// The last requests are being completed.
         Finishing,
-        /// Nothing is left.
+        /// The shutdown is complete.
         Done,
     }
 }
 
 chart_names! {
-    /// What happens in a daemon's shutdown.
+    /// Event in a daemon's shutdown.
     DrainEvent {
-        /// The platform or an operator asks for it.
+        /// The platform or an operator requested a shutdown.
         DrainAsked,
-        /// The balancer has had the time to stop sending callers.
+        /// The load balancer has had enough time to stop sending callers.
         BalancerLeft,
-        /// Another VM leads each group.
+        /// Another VM leads each of the groups.
         GroupsHandedOver,
         /// No session is open.
         SessionsClosed,
         /// No request is in flight.
         WorkEnded,
-        /// The time for the present stage is over.
+        /// The deadline of the present stage has passed.
         DeadlinePassed,
     }
 }
 
 chart_names! {
-    /// What a daemon does in its shutdown.
+    /// Action of a daemon in its shutdown.
     DrainAction {
-        /// Answer that it isn't ready.
+        /// Report unreadiness.
         ReportUnready,
-        /// Tell control that it drains.
+        /// Announce the drain to control.
         AnnounceDraining,
         /// Start the deadline of the stages.
         StartDeadline,
@@ -110,9 +111,9 @@
         HandOverGroups,
         /// Close sessions that have no transaction open.
         CloseIdleSessions,
-        /// Close all sessions as soon as their statement has its answer.
+        /// Close each session as soon as its statement is answered.
         CloseSessions,
-        /// Propose the removal from the catalog.
+        /// Propose the VM's removal from the catalog.
         LeaveCatalog,
         /// End the process.
         Exit,
@@ -120,79 +121,79 @@
 }
 
 chart_names! {
-    /// Where a connection to an endpoint stands.
+    /// State of a connection to an endpoint.
     ConnectionState {
-        /// It is being opened.
+        /// The connection is being opened.
         Opening,
-        /// It waits for work.
+        /// The connection is available.
         Idle,
-        /// It is tested before it is used again.
+        /// The connection is tested before it is used again.
         Testing,
-        /// A statement runs on it.
+        /// A statement is running on the connection.
         Busy,
-        /// A transaction is open on it.
+        /// A transaction is open on the connection.
         Pinned,
-        /// It is closed.
+        /// The connection is closed.
         Closed,
     }
 }
 
 chart_names! {
-    /// What happens to a connection.
+    /// Event on a connection.
     ConnectionEvent {
-        /// It was opened.
+        /// The connection was opened.
         Opened,
-        /// It could not be opened.
+        /// The connection could not be opened.
         OpenFailed,
-        /// A statement is sent on it.
+        /// A statement was sent.
         Lent,
-        /// The whole answer has arrived.
+        /// The complete answer has arrived.
         Answered,
         /// The statement opened a transaction.
         TransactionBegun,
-        /// The transaction was committed, rolled back or given up.
+        /// The transaction was committed, rolled back or abandoned.
         TransactionEnded,
-        /// The answer didn't come in time.
+        /// The answer didn't arrive in time.
         AnswerLate,
-        /// The endpoint closed it.
+        /// The endpoint closed the connection.
         PeerClosed,
-        /// It has been quiet for too long.
+        /// The connection has been idle for too long.
         GrewStale,
-        /// It isn't wanted any more.
+        /// The connection is no longer needed.
         Retired,
     }
 }
 
 chart_names! {
-    /// What a connection's course depends on.
+    /// Condition of a transition.
     ConnectionGuard {
         /// A transaction is open.
         InTransaction,
-        /// It was marked for closing.
+        /// The connection is marked for closing.
         Retiring,
     }
 }
 
 chart_names! {
-    /// What is done with a connection.
+    /// Action on a connection.
     ConnectionAction {
         /// Close the socket.
         Close,
-        /// Give it back to the pool.
+        /// Return the connection to the pool.
         GiveBack,
-        /// Keep it for the transaction.
+        /// Reserve the connection for the transaction.
         Pin,
-        /// Free it from the transaction.
+        /// Release the connection from the transaction.
         Unpin,
         /// Send a ping.
         SendPing,
-        /// Close it as soon as it is free.
+        /// Mark the connection for closing as soon as it is free.
         MarkRetiring,
-        /// Tell that it could not be opened.
+        /// Report that the connection could not be opened.
         ReportFailure,
-        /// Answer the statement as doubtful.
+        /// Answer the statement with an unknown outcome.
         ReportDoubt,
-        /// Tell that the transaction is lost.
+        /// Report that the transaction is lost.
         ReportTransactionLost,
         /// Have all connections to the endpoint tested.
         SuspectPeer,
@@ -204,7 +205,7 @@
     NoGuard {}
 }
 
-/// The names in the membership chart.
+/// Vocabulary of the membership chart.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipVocabulary;
 
@@ -215,7 +216,7 @@
     type Action = MembershipAction;
 }
 
-/// The names in the drain chart.
+/// Vocabulary of the drain chart.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DrainVocabulary;
 
@@ -226,7 +227,7 @@
     type Action = DrainAction;
 }
 
-/// The names in the connection chart.
+/// Vocabulary of the connection chart.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConnectionVocabulary;
 
--- a/crates/control/tests/state/detector.rs
+++ b/crates/control/tests/state/detector.rs
@@ -1,14 +1,14 @@
 //! Failure tests of the detector: crashed, lost, hung, slow and merely unreachable primaries.
 
 use ragwort_control::ClockTime;
-use ragwort_control::DEAD_SILENCE;
 use ragwort_control::DetectorAction;
-use ragwort_control::HUNG_SILENCE;
 use ragwort_control::PROBE_TIMEOUT;
 use ragwort_control::PrimaryDetector;
 use ragwort_control::PrimaryVerdict;
 use ragwort_control::ProbeOutcome;
 use ragwort_control::ProbeView;
+use ragwort_control::UNREACHABLE_TIMEOUT;
+use ragwort_control::UNRESPONSIVE_TIMEOUT;
 use ragwort_types::VmName;
 
 /// What a primary does with probes, and what the standby sees, for one run.
@@ -78,7 +78,7 @@
             panic!("{verdict:?}");
         };
         assert_eq!(grounds.agreeing.len(), 1);
-        assert_eq!(after, millis(DEAD_SILENCE));
+        assert_eq!(after, millis(UNREACHABLE_TIMEOUT));
     }
 }
 
@@ -91,7 +91,7 @@
             standby: Some(false),
         }, 5_000);
         assert!(matches!(verdict, PrimaryVerdict::Suspected(_)), "{verdict:?}");
-        assert_eq!(after, millis(HUNG_SILENCE));
+        assert_eq!(after, millis(UNRESPONSIVE_TIMEOUT));
     }
 }
 
--- a/crates/control/tests/state/journal.rs
+++ b/crates/control/tests/state/journal.rs
@@ -11,7 +11,7 @@
 use ragwort_control::JournalSource;
 use ragwort_control::KEY_WINDOW_MS;
 use ragwort_control::KeyAdmission;
-use ragwort_control::LARGEST_KEPT_ANSWER;
+use ragwort_control::MAX_KEPT_ANSWER_BYTES;
 use ragwort_control::recover_journal;
 use ragwort_types::CustomerName;
 use ragwort_types::DoubtCause;
@@ -202,7 +202,7 @@
         journal.begin(&omuti(), key, START_MS);
         let large = RowSet {
             columns: vec!["note".into()],
-            rows: vec![vec![Some("x".repeat(LARGEST_KEPT_ANSWER))]],
+            rows: vec![vec![Some("x".repeat(MAX_KEPT_ANSWER_BYTES))]],
         };
         journal.decide(&omuti(), key, &RequestVerdict::Ran(StatementAnswer::Rows(large)));
         assert_eq!(journal.begin(&omuti(), key, START_MS), KeyAdmission::MayHaveRun);
--- a/crates/control/tests/state/membership.rs
+++ b/crates/control/tests/state/membership.rs
@@ -385,16 +385,16 @@
     /// A VM's processor is held back for a few tenths of a second now and then. With the shortest lease
     /// it would stop serving each time though it lives; it asks for a lease that covers its pauses.
     pauses_lengthen_the_lease {
-        let mut pace = LeasePace::new(millis(150), millis(1_200));
-        assert_eq!(pace.lease(), millis(600));
-        assert!(!pace.note_round(millis(80)));
-        assert!(!pace.note_round(millis(300)));
-        assert!(pace.note_round(millis(400)));
-        assert_eq!(pace.lease(), millis(750));
-        assert!(!pace.note_round(millis(10)));
-        assert_eq!(pace.lease(), millis(750), "it never asks for less again");
-        assert!(pace.note_round(millis(1_100)));
-        assert_eq!(pace.lease(), millis(1_200));
+        let mut requested_lease = LeasePace::new(millis(150), millis(1_200));
+        assert_eq!(requested_lease.lease(), millis(600));
+        assert!(!requested_lease.note_round(millis(80)));
+        assert!(!requested_lease.note_round(millis(300)));
+        assert!(requested_lease.note_round(millis(400)));
+        assert_eq!(requested_lease.lease(), millis(750));
+        assert!(!requested_lease.note_round(millis(10)));
+        assert_eq!(requested_lease.lease(), millis(750), "it never asks for less again");
+        assert!(requested_lease.note_round(millis(1_100)));
+        assert_eq!(requested_lease.lease(), millis(1_200));
     }
 }
 
@@ -402,8 +402,8 @@
     /// A VM was frozen for seconds. No lease could cover that, and a longer one would only keep its
     /// groups from a successor the next time.
     freeze_is_no_pause {
-        let mut pace = LeasePace::new(millis(150), millis(1_200));
-        assert!(!pace.note_round(millis(7_000)));
-        assert_eq!(pace.lease(), millis(600));
+        let mut requested_lease = LeasePace::new(millis(150), millis(1_200));
+        assert!(!requested_lease.note_round(millis(7_000)));
+        assert_eq!(requested_lease.lease(), millis(600));
     }
 }
