--- a/crates/control/examples/catalog_slopes.rs
+++ b/crates/control/examples/catalog_slopes.rs
@@ -1,4 +1,4 @@
-//! Prints what the catalog costs at the sizes that users expect in two years.
+//! Prints the time and memory that the catalog takes at the sizes expected in two years.
 //!
 //! Run it with `cargo run --release --example catalog_slopes -p ragwort-control`. Memory is the
 //! growth of the process's resident set, so it includes the allocator's overhead.
@@ -69,7 +69,7 @@
         self.state.apply(CatalogRevision(self.index), command);
     }
 
-    /// Runs a part of the build and prints its time and memory for each item.
+    /// Runs one part of the setup and prints its time and memory per item.
     fn measure(&mut self, name: &str, count: u64, build: impl FnOnce(&mut Self)) {
         let memory = resident_bytes();
         let began = Instant::now();
@@ -242,7 +242,7 @@
     }
 }
 
-/// Returns a UUIDv7 as an operator's tool makes it: 37 seconds after the one before.
+/// Returns a UUIDv7 like those of an operator's tool, 37 seconds after the previous one.
 fn change_uuid(number: u64) -> uuid::Uuid {
     let millis = 1_796_000_000_000 + 37_000 * number;
     let random = number.wrapping_mul(0x9e37_79b9_7f4a_7c15);
@@ -281,7 +281,7 @@
     }
 }
 
-/// Returns the process's resident memory, as the kernel reports it.
+/// Returns the process's resident set size in bytes, as the kernel reports it.
 fn resident_bytes() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
--- a/crates/control/src/detector.rs
+++ b/crates/control/src/detector.rs
@@ -3,7 +3,7 @@
 //! A primary can fail in three ways: its machine is lost, its process dies or hangs, or a network
 //! partition separates it from its leaseholder. A late suspicion prolongs the time without writes;
 //! a suspicion of a primary that is merely slow pauses every caller and adds load. The detector
-//! therefore distinguishes three kinds of failure, each with a threshold of its own:
+//! therefore distinguishes three symptoms, each with a threshold of its own:
 //!
 //! - A new connection is refused: no process listens. [`MIN_REFUSALS`] refusals, one probe apart,
 //!   suffice, because an operating system that refuses a connection is running and knows that
--- a/crates/control/src/promotion.rs
+++ b/crates/control/src/promotion.rs
@@ -281,11 +281,11 @@
         let candidate = candidate.clone();
         // After two promotions in one term, two instances would assign the same positions, and a
         // majority could be counted from both.
-        let elsewhere = self
+        let sent_elsewhere = self
             .last_promote
             .as_ref()
             .is_some_and(|(term, name)| *term == self.term && *name != candidate);
-        invariant!(!elsewhere, "two promotions in term {}", self.term);
+        invariant!(!sent_elsewhere, "two promotions in term {}", self.term);
         self.last_promote = Some((self.term, candidate.clone()));
         actions.push(PromotionAction::Promote(candidate.clone(), self.term));
         self.candidate = Some(candidate);
@@ -435,8 +435,8 @@
             return self.handle_primary_status(now, status, actions);
         }
         let followed = self.followers.is_confirmed(now, instance);
-        let rival = status.role == InstanceRole::Primary;
-        if !followed || rival || status.fenced_term < self.term {
+        let claims_primary = status.role == InstanceRole::Primary;
+        if !followed || claims_primary || status.fenced_term < self.term {
             self.step(now, PromotionEvent::InstanceBehind, Some(instance), actions);
         }
     }
--- a/crates/control/tests/record.rs
+++ b/crates/control/tests/record.rs
@@ -1,4 +1,5 @@
-//! The record file: what a crash leaves behind is cut, what it can't have left is reported.
+//! Tests of the record file: a tail that a crash may leave is cut off, any other damage is
+//! reported.
 
 use quickcheck::Arbitrary;
 use quickcheck::Gen;
@@ -37,7 +38,7 @@
     }))
 }
 
-/// Batches of writes as a node makes them, one record each.
+/// Batches of writes as a node makes them, each of which becomes one record.
 fn batches() -> Vec<Vec<DiskWrite>> {
     let hard = HardState {
         term: ElectionTerm(2),
@@ -60,15 +61,13 @@
     state.to_writes()
 }
 
-/// Returns the states after each record, from the empty one on.
+/// Returns the state before the first record and after each record.
 fn states() -> Vec<Vec<DiskWrite>> {
     let mut state = DurableState::default();
     let mut states = vec![describe(&state)];
     for batch in batches() {
         for write in batch {
-            state
-                .apply(write)
-                .expect("the batches follow on each other");
+            state.apply(write).expect("the batches are consecutive");
         }
         states.push(describe(&state));
     }
@@ -94,8 +93,8 @@
     assert_eq!(describe(&again.state), describe(&restored.state));
 }
 
-/// A process is killed while it appends a record, at any byte of it. The record was never
-/// acknowledged; on restart the state is that of the records before.
+/// A process is killed at any byte while it appends a record. The record was never acknowledged, so
+/// the restored state is that of the records before it.
 #[test]
 fn torn_tail() {
     let records = records();
@@ -116,7 +115,7 @@
 }
 
 /// A bit of the file changes after it was synced. A node that skipped the damage would forget a
-/// vote or an entry that others count on, so the damage is reported with its place.
+/// vote or an entry on which others rely, so the damage is reported with its offset.
 #[test]
 fn changed_bit() {
     let records = records();
@@ -144,8 +143,8 @@
     }
 }
 
-/// A block in the middle of the file reads as zeros. It isn't a torn tail, because a record
-/// follows that was synced later.
+/// A block in the middle of the file reads as zeros. It isn't a torn tail, because a record that
+/// was synced later follows.
 #[test]
 fn zeroed_block() {
     let records = records();
@@ -158,8 +157,8 @@
     }
 }
 
-/// A record is intact, but the one before it is gone, for instance in a file put together from
-/// two copies. The entries don't follow on each other, which is reported with the place.
+/// A record is intact, but the one before it is missing, for instance in a file assembled from two
+/// copies. The entries aren't consecutive, which is reported with the offset.
 #[test]
 fn missing_record() {
     let records = records();
@@ -189,7 +188,7 @@
     assert!(matches!(error, RecordError::Unreadable { offset: 0, .. }));
 }
 
-/// Any bytes may lie in a file; reading them must end in a verdict and never in a panic.
+/// Reading a file with arbitrary bytes returns a result and never panics.
 #[test]
 fn any_bytes() {
     for seed in 0..500 {
--- a/crates/control/tests/state/catalog.rs
+++ b/crates/control/tests/state/catalog.rs
@@ -1,4 +1,4 @@
-//! Failure tests of the catalog: racing operators, resends, restarts and late commands.
+//! Failure tests of the catalog: concurrent operators, resends, restarts and delayed commands.
 
 use quickcheck::Arbitrary;
 use quickcheck::Gen;
@@ -29,7 +29,7 @@
 
 case! {
     /// An operator loses the answer to a change and resends it after a colleague has changed the
-    /// contract again. The operator must see the first acceptance, not a conflict with a change
+    /// contract again. The operator must get the first acceptance, not a conflict with a change
     /// that was built on it.
     resend_after_later_change_repeats_first_acceptance {
         let mut script = CatalogScript::with_members(1);
@@ -44,8 +44,8 @@
 }
 
 case! {
-    /// Two operators change the same version at once. One of them is told of the conflict and
-    /// shown the winner, and hears the same when asking again after further changes.
+    /// Two operators change the same version concurrently. One of them gets a conflict with the
+    /// winning contract, and must get the same answer to a resend after further changes.
     loser_of_a_race_is_shown_the_same_winner_again {
         let mut script = CatalogScript::with_members(1);
         script.apply(CatalogCommand::ApplyContract(contract_change(1, 0, 10)));
@@ -62,8 +62,8 @@
 }
 
 case! {
-    /// Years of changes have been made when an operator resends an old one. It still gets its first
-    /// answer, also from a control VM that restarted from a snapshot in between.
+    /// After years of changes an operator resends an old one. It still gets its first answer, also
+    /// from a control VM that restarted from a snapshot in between.
     resend_after_thousands_of_changes_repeats_its_answer {
         let mut script = CatalogScript::with_members(1);
         let mut answers = Vec::new();
@@ -85,8 +85,8 @@
 }
 
 case! {
-    /// An operator edits a change but keeps its id. Taking the old answer for the new content
-    /// would tell the operator that limits are in force that never were.
+    /// An operator edits a change but keeps its id. With the old answer to the new content, the
+    /// operator would believe that limits are in force that never were.
     change_id_under_other_content_is_refused {
         let mut script = CatalogScript::with_members(1);
         script.apply(CatalogCommand::ApplyContract(contract_change(1, 0, 10)));
@@ -109,7 +109,7 @@
 
 case! {
     /// A VM's daemon restarts while its former process may still hold a lease. If the new process
-    /// were admitted at once, both would serve the VM's groups and double writes.
+    /// were admitted at once, both would serve the VM's groups and run writes twice.
     new_process_waits_for_removal_of_the_former {
         let mut script = formed_group(&["a", "b"]);
         let successor = CatalogCommand::AdmitMember(member(1, 2));
@@ -123,8 +123,8 @@
 }
 
 case! {
-    /// The heartbeat of a process that was replaced arrives late. Admitting it would bring a dead
-    /// process back and give groups to it.
+    /// The heartbeat of a replaced process arrives late. If it were admitted, groups would be
+    /// assigned to a process that has ended.
     older_incarnation_is_never_admitted {
         let mut script = CatalogScript::with_members(1);
         script.expect_done(CatalogCommand::RemoveMember(member(1, 1).id));
@@ -136,8 +136,9 @@
 }
 
 case! {
-    /// A leaseholder dies between the start of a term and its primary. The next one can't know
-    /// whom the first promoted, so a primary that it records in that term could be the second.
+    /// A leaseholder dies between the start of a term and the record of its primary. Its successor
+    /// can't know which instance was promoted, so a primary that it records in that term could be
+    /// the second one.
     successor_begins_a_term_of_its_own {
         let mut script = formed_group(&["a", "b"]);
         script.expect_done(term_start(1, 2));
@@ -152,8 +153,8 @@
 }
 
 case! {
-    /// A leaseholder loses the answers to its commands and sends them again. They must not count
-    /// as another's, or the promotion would start over each time an answer is lost.
+    /// A leaseholder loses the replies to its commands and resends them. If a resent command were
+    /// refused, the promotion would start over whenever a reply is lost.
     resent_commands_are_answered_as_done {
         let mut script = formed_group(&["a", "b"]);
         script.expect_done(term_start(1, 2));
@@ -178,8 +179,8 @@
 }
 
 case! {
-    /// A leaseholder behind a cut notes the endpoints that it knew, after another has taken over and
-    /// noted a later primary. The next leaseholder must begin with the later one.
+    /// A partitioned leaseholder records the endpoints that it knew after its successor recorded a
+    /// later primary. The next leaseholder must start with the later one.
     notes_of_a_former_leaseholder_are_refused {
         let mut script = formed_group(&["a", "b"]);
         script.expect_done(endpoint_notes(1, 1, "a"));
@@ -197,8 +198,8 @@
 }
 
 case! {
-    /// Instances fail one after the other while nobody looks. If the set shrank to nothing, or
-    /// without its primary, the next majority would know nothing of acknowledged writes.
+    /// Instances fail one after the other. If the set could become empty or lose its primary, the
+    /// next majority would know nothing of acknowledged writes.
     instance_set_keeps_its_primary_and_is_never_empty {
         let mut script = formed_group(&["a", "b"]);
         script.expect_stale(CatalogCommand::RemoveInstance(instance_change("a", 1, 1)));
@@ -210,8 +211,8 @@
 }
 
 case! {
-    /// A member that was down for hundreds of changes comes back. It must hold exactly the present
-    /// catalog, without the members that left meanwhile.
+    /// A member returns after missing hundreds of changes. Its copy must equal the present catalog,
+    /// without the members that left in the meantime.
     copy_follows_by_delta_and_by_snapshot {
         let mut script = formed_group(&["a", "b"]);
         let mut copy = CatalogCopy::new();
@@ -233,8 +234,8 @@
 }
 
 case! {
-    /// A member asks a control VM that sat silent behind a cut for an hour. Taking its older state
-    /// would put replaced contracts back in force.
+    /// A member asks a control VM that was partitioned for an hour. If the member accepted its
+    /// older state, replaced contracts would be in force again.
     copy_never_goes_back {
         let mut script = formed_group(&["a", "b"]);
         let stale = script.state.delta_since(CatalogRevision(0));
@@ -251,8 +252,8 @@
 }
 
 case! {
-    /// Two control leaders in turn place the same group. The second must not overwrite the first's
-    /// placement unseen, nor place a group on a VM that has just left.
+    /// Two successive control leaders place the same group. The second must not overwrite the
+    /// first's placement unknowingly, nor place a group on a VM that has just left.
     placement_is_compared_by_epoch_and_member {
         let mut script = formed_group(&["a", "b"]);
         script.expect_stale(CatalogCommand::PlaceGroup(placement("cases", 1, "vm-2", &[])));
@@ -266,9 +267,9 @@
 
 #[derive(Clone, Copy, Debug)]
 enum CatalogStep {
-    /// An operator sends a change, perhaps again.
+    /// An operator sends or resends a change.
     Change { id: u8, base: u8, share: u8 },
-    /// A process of a VM asks for admission.
+    /// A process of a VM requests admission.
     Admit { vm: u8, incarnation: u8 },
     /// A process of a VM is removed.
     Remove { vm: u8, incarnation: u8 },
@@ -282,7 +283,7 @@
     Begin { epoch: u8, term: u8 },
     /// The control VM restarts from its snapshot.
     Restore,
-    /// The member's copy catches up.
+    /// The member's copy is brought up to date.
     Learn,
 }
 
@@ -318,7 +319,7 @@
     }
 }
 
-/// The first answers, as operators would note them.
+/// The first answer to each change, as operators know them.
 #[derive(Default)]
 struct OperatorNotes {
     answers: BTreeMap<u64, (ContractChange, CatalogOutcome)>,
@@ -352,9 +353,9 @@
 }
 
 case! {
-    /// Operators race and resend, daemons restart, late commands arrive, and members and control
-    /// VMs come back from old states. Each change must have one answer for good, and each copy must
-    /// end up equal to the agreed state.
+    /// Operators send concurrent changes and resends, daemons restart, delayed commands arrive, and
+    /// members and control VMs return from old states. Each change must have one permanent answer,
+    /// and each copy must end up equal to the catalog.
     random_commands_are_linear_and_copies_agree {
         let changes = run_seeds(0x6361_0000, 1_000, 120, |steps: Vec<CatalogStep>| {
             let mut script = CatalogScript::with_members(2);
--- a/crates/control/tests/state/charts.rs
+++ b/crates/control/tests/state/charts.rs
@@ -1,4 +1,4 @@
-//! Checks that the state charts are complete.
+//! Completeness checks of the state charts.
 
 use ragwort_control::ChartName;
 use ragwort_control::StateChart;
@@ -14,8 +14,8 @@
 use ragwort_control::vocabulary::membership_chart;
 
 case! {
-    /// A state that forgets an event leaves a group without a primary, a shutdown that never ends
-    /// or a connection that nobody closes, as soon as failures meet.
+    /// If a state neither handles nor ignores an event, coinciding failures leave a group without a
+    /// primary, a shutdown that never ends or a connection that is never closed.
     charts_are_complete {
         let none: Vec<String> = Vec::new();
         assert_eq!(promotion_chart().find_gaps(), none);
@@ -27,8 +27,8 @@
 }
 
 case! {
-    /// An answer is overdue when its connection is closed or given back. Given back, the late
-    /// answer would reach another caller.
+    /// A connection whose answer is overdue must be closed. If it were returned to the pool, the
+    /// late answer would reach another caller.
     connection_with_an_overdue_answer_is_closed {
         let chart = connection_chart();
         let step = chart.step(ConnectionState::Busy, ConnectionEvent::AnswerLate, |_| true);
@@ -42,8 +42,8 @@
 }
 
 case! {
-    /// A chart is edited and loses a transition, a state or a last branch. The check must name it,
-    /// or it would be found by a hanging promotion.
+    /// An edited chart loses a transition, a state or an unconditional branch. The check must name
+    /// what is missing, or the gap would only show as a hanging promotion.
     gaps_are_named {
         let chart: StateChart<ConnectionVocabulary> = StateChart::from_yaml(
             "entry: [idle]\nstates:\n  idle:\n    on:\n      answered:\n        - guard: retiring\n",
--- a/crates/control/tests/state/common.rs
+++ b/crates/control/tests/state/common.rs
@@ -1,4 +1,4 @@
-//! Builders that the tests of this crate share.
+//! Builders and helpers shared by the tests of this crate.
 
 use quickcheck::Arbitrary;
 use quickcheck::Gen;
@@ -36,7 +36,7 @@
 use std::collections::BTreeMap;
 use uuid::Uuid;
 
-/// Names one test case and tells, in its comment, how the failure comes about and what users notice.
+/// Declares one test case. Its doc comment says how the failure comes about and what users notice.
 macro_rules! case {
     ($(#[$doc:meta])* $name:ident $body:block) => {
         $(#[$doc])*
@@ -45,7 +45,7 @@
     };
 }
 
-/// A catalog with the index of the last command that it was given.
+/// A catalog with the index of the last command that was applied to it.
 pub struct CatalogScript {
     pub state: CatalogState,
     index: u64,
@@ -68,7 +68,7 @@
         self.state.apply(CatalogRevision(self.index), &command)
     }
 
-    /// Applies a command that must be done.
+    /// Applies a command that must succeed.
     pub fn expect_done(&mut self, command: CatalogCommand) {
         let outcome = self.apply(command.clone());
         assert!(
@@ -151,7 +151,7 @@
     }
 }
 
-/// Returns the announcement of a replica that holds nothing yet.
+/// Returns the announcement of an empty replica.
 pub fn announcement(group: &str, instance: &str, domain: &str) -> EndpointAnnouncement {
     EndpointAnnouncement {
         group: group.into(),
@@ -196,7 +196,7 @@
     }
 }
 
-/// Returns a contract with one kind.
+/// Returns a contract with one request kind.
 pub fn contract(customer: &str, slot_share: u32) -> CustomerContract {
     let status = KindTerms {
         access: AccessMode::Read,
@@ -220,7 +220,7 @@
     }
 }
 
-/// Returns a request key with a time, in milliseconds since the Unix epoch.
+/// Returns a request key with the given time, in milliseconds since the Unix epoch.
 pub fn key_made_at(unix_ms: u64, number: u64) -> RequestKey {
     let seconds = unix_ms / 1_000;
     let nanos = u32::try_from(unix_ms % 1_000).unwrap() * 1_000_000;
@@ -234,7 +234,8 @@
     RequestKey(Uuid::from_bytes(bytes))
 }
 
-/// Runs a model on random steps, one run for each seed from `base` on, and sums what it returns.
+/// Runs a model on random steps, once for each of `runs` seeds from `base` on, and returns the sum
+/// of its results.
 ///
 /// A failing run prints its seed.
 pub fn run_seeds<S: Arbitrary>(
--- a/crates/control/tests/state/detector.rs
+++ b/crates/control/tests/state/detector.rs
@@ -1,4 +1,4 @@
-//! Failure tests of the detector: crashed, lost, hung, slow and merely unreachable primaries.
+//! Tests of the failure detector: crashed, lost, hung, slow and merely unreachable primaries.
 
 use ragwort_control::ClockTime;
 use ragwort_control::DetectorAction;
@@ -11,14 +11,15 @@
 use ragwort_control::UNRESPONSIVE_TIMEOUT;
 use ragwort_types::VmName;
 
-/// What a primary does with probes, and what the standby sees, for one run.
+/// How a primary reacts to probes, and what a standby reports, during one run.
 struct PrimaryBehaviour {
     open: Option<ProbeOutcome>,
     new: Option<ProbeOutcome>,
     standby: Option<bool>,
 }
 
-/// Runs the detector in steps of 10 ms until it suspects or redirects, and returns when.
+/// Runs the detector in steps of 10 ms until it suspects the primary or redirects the group, and
+/// returns the time and the verdict.
 fn run_until_verdict(behaviour: &PrimaryBehaviour, limit_ms: u64) -> (u64, PrimaryVerdict) {
     let standby = VmName::from("vm-2");
     let mut detector =
@@ -53,8 +54,8 @@
 }
 
 case! {
-    /// The primary's process crashes and its system refuses connections. Writes can't land until
-    /// it is replaced, so two refusals are enough.
+    /// The primary's process crashes and its operating system refuses connections. Writes fail
+    /// until it is replaced, so two refusals suffice.
     crashed_primary_is_suspected_after_two_refusals {
         let (after, verdict) = run_until_verdict(&PrimaryBehaviour {
             open: Some(ProbeOutcome::Refused),
@@ -67,7 +68,7 @@
 }
 
 case! {
-    /// The primary's machine is lost and nothing comes back, here or at the standby.
+    /// The primary's machine is lost, and neither this VM nor the standby gets a response.
     lost_machine_is_suspected_after_its_silence {
         let (after, verdict) = run_until_verdict(&PrimaryBehaviour {
             open: None,
@@ -83,7 +84,7 @@
 }
 
 case! {
-    /// The primary's process hangs, while its system goes on accepting connections.
+    /// The primary's process hangs while its operating system continues to accept connections.
     hung_primary_is_suspected_after_a_longer_silence {
         let (after, verdict) = run_until_verdict(&PrimaryBehaviour {
             open: None,
@@ -96,8 +97,9 @@
 }
 
 case! {
-    /// A cut lies between this VM and the primary only. Replacing a primary that serves others well
-    /// would pause every caller; the group is led from the standby that reaches it.
+    /// A network partition separates only this VM from the primary. Replacing a primary that is
+    /// reachable for others would pause every caller; instead, the standby that reaches it takes
+    /// the group over.
     primary_that_a_standby_reaches_is_not_suspected {
         let (_, verdict) = run_until_verdict(&PrimaryBehaviour {
             open: None,
@@ -109,8 +111,8 @@
 }
 
 case! {
-    /// Something between the two ends has forgotten the open connections. New ones work, so the
-    /// primary is fine and only the connections have to be replaced.
+    /// A middlebox has dropped the state of the open connections. New connections work, so only the
+    /// connections must be replaced.
     silent_open_connections_are_replaced {
         let (after, verdict) = run_until_verdict(&PrimaryBehaviour {
             open: None,
@@ -149,8 +151,8 @@
 }
 
 case! {
-    /// The leaseholder's own process was suspended for three seconds. It must not take the answers
-    /// that it missed for the primary's silence.
+    /// The leaseholder's own process was suspended for three seconds. It must not count the answers
+    /// that it missed as the primary's silence.
     own_suspension_is_not_the_primarys_silence {
         let mut detector = PrimaryDetector::new(ClockTime::from_millis(0), &[]);
         detector.tick(ClockTime::from_millis(100));
@@ -161,7 +163,8 @@
 }
 
 case! {
-    /// A VM without descriptors took a primary for dead that it could not ask.
+    /// A VM without free descriptors can't send probes. It must not suspect a primary that it never
+    /// asked.
     primary_that_could_not_be_asked_is_not_suspected {
         let (_, verdict) = run_until_verdict(&PrimaryBehaviour {
             open: Some(ProbeOutcome::Untried),
--- a/crates/control/tests/state/documents.rs
+++ b/crates/control/tests/state/documents.rs
@@ -1,4 +1,5 @@
-//! Whole configurations: races, resends, and what members learn.
+//! Tests of configuration documents: concurrent versions, resends, and the deltas that members
+//! receive.
 
 use crate::common::CatalogScript;
 use crate::common::contract_change;
@@ -12,7 +13,7 @@
 use ragwort_types::DocumentVersion;
 use ragwort_types::GroupTerms;
 
-/// Returns a contract of a customer that differs by its share.
+/// Returns a customer's contract with the given slot share.
 fn contract(customer: &str, share: u32) -> CustomerContract {
     let mut contract = contract_change(1, 0, 10).contract;
     contract.customer = customer.into();
@@ -62,8 +63,8 @@
 }
 
 case! {
-    /// Two operators send whole configurations at once, and the lower version arrives last. Both
-    /// must be told that they are accepted, and the higher one stays in force as a whole.
+    /// Two operators send documents concurrently, and the lower version arrives last. Both must be
+    /// answered as accepted, and the higher version stays in force completely.
     lower_version_is_accepted_and_changes_nothing {
         let mut script = CatalogScript::with_members(1);
         let first = apply(&mut script, document(9, &[("omuti", 2)]));
@@ -79,8 +80,8 @@
 }
 
 case! {
-    /// An operator's answer was lost, and the same document is sent again; somebody else sends other
-    /// content under its version. Neither may change what is in force.
+    /// An operator resends a document after losing the answer, and another operator sends other
+    /// content under the same version. Neither may change what is in force.
     same_version_changes_nothing {
         let mut script = CatalogScript::with_members(1);
         apply(&mut script, document(9, &[("omuti", 2)]));
@@ -93,8 +94,8 @@
 }
 
 case! {
-    /// A document names a group of which it says nothing. If the rest of it were taken, callers
-    /// would be served by half of a configuration.
+    /// A contract of the document names a group that the document doesn't define. If the rest of
+    /// the document were applied, callers would be served by an incomplete configuration.
     invalid_document_changes_nothing {
         let mut script = CatalogScript::with_members(1);
         apply(&mut script, document(3, &[("omuti", 2)]));
@@ -108,8 +109,8 @@
 }
 
 case! {
-    /// One contract of a thousand changes and another one goes. A member learns these two and
-    /// nothing else; a storm of changes would otherwise fill the links of small VMs.
+    /// One contract of a thousand changes and another is removed. A member must receive these two
+    /// items only; otherwise frequent changes would saturate the links of small VMs.
     members_learn_only_what_changed {
         let mut script = CatalogScript::with_members(1);
         let names: Vec<String> = (0..1_000).map(|number| format!("customer-{number}")).collect();
@@ -131,8 +132,8 @@
 }
 
 case! {
-    /// A member was away while contracts came and went, and gets a whole snapshot. A contract that
-    /// went meanwhile must be gone on it too, or the VM would go on serving its callers.
+    /// A member that missed the removal of a contract receives a complete snapshot. The contract
+    /// must be removed from its copy too, or the VM would continue to serve the customer's callers.
     snapshot_drops_retired_contracts {
         let mut script = CatalogScript::with_members(1);
         apply(&mut script, document(1, &[("omuti", 1), ("gone", 1)]));
@@ -147,7 +148,7 @@
 }
 
 case! {
-    /// A retired contract comes back. A member that hears of both changes at once must hold it.
+    /// A retired contract returns. A member that receives both changes at once must hold it.
     returning_contract_is_no_departure {
         let mut script = CatalogScript::with_members(1);
         apply(&mut script, document(1, &[("omuti", 1), ("back", 1)]));
@@ -162,8 +163,8 @@
 }
 
 case! {
-    /// A control VM restores the catalog from a snapshot of the log. What it tells members must be
-    /// the same as what one tells that applied every command.
+    /// A control VM restores the catalog from a snapshot of the log. Its deltas must equal those of
+    /// a control VM that applied every command.
     restored_catalog_sends_the_same_deltas {
         let mut script = CatalogScript::with_members(1);
         apply(&mut script, document(1, &[("omuti", 1), ("gone", 1)]));
--- a/crates/control/tests/state/instances.rs
+++ b/crates/control/tests/state/instances.rs
@@ -1,4 +1,4 @@
-//! A small model of a group's instances with asynchronous replication.
+//! Model of a group's instances with asynchronous replication.
 
 use ragwort_control::PromotionAction;
 use ragwort_types::FenceReply;
@@ -21,7 +21,7 @@
 struct InstanceModel {
     log: Vec<LogEntry>,
     fenced: GroupTerm,
-    /// The term in which it is the primary.
+    /// The term in which this instance is the primary.
     leads: Option<GroupTerm>,
     follows: Option<InstanceName>,
 }
@@ -47,7 +47,7 @@
         self.names()[usize::from(byte) % self.instances.len()].clone()
     }
 
-    /// Gives an instance an entry from before its first term.
+    /// Appends an entry from before the first term to an instance's log.
     pub fn load(&mut self, name: &InstanceName, entry: LogEntry) {
         self.instances.get_mut(name).unwrap().log.push(entry);
     }
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Carries out a request to an agent.
+    /// Applies a request to an instance's agent.
     pub fn request(&mut self, action: &PromotionAction) -> FenceReply {
         let (name, term) = match action {
             PromotionAction::Fence(name, term) | PromotionAction::Promote(name, term) => {
@@ -96,14 +96,14 @@
         FenceReply::Fenced(instance.position())
     }
 
-    /// Restarts an instance: it keeps its log and its fence, and forgets its role.
+    /// Restarts an instance, which keeps its log and its fenced term but loses its role.
     pub fn restart(&mut self, name: &InstanceName) {
         let instance = self.instances.get_mut(name).unwrap();
         instance.leads = None;
         instance.follows = None;
     }
 
-    /// Writes a value; the instance must be a primary.
+    /// Appends a value; returns `None` if the instance isn't a primary.
     pub fn write(&mut self, name: &InstanceName, value: u64) -> Option<LogPosition> {
         let instance = self.instances.get_mut(name)?;
         let term = instance.leads?;
@@ -112,7 +112,7 @@
         Some(instance.position())
     }
 
-    /// Moves one entry from the followed primary, after dropping what that primary lacks.
+    /// Replicates one entry from the followed primary, after truncating what that primary lacks.
     pub fn replicate(&mut self, name: &InstanceName, cut: &BTreeSet<InstanceName>) {
         let follower = &self.instances[name];
         let Some(primary) = follower
--- a/crates/control/tests/state/journal.rs
+++ b/crates/control/tests/state/journal.rs
@@ -1,4 +1,4 @@
-//! Failure tests of the journal: requests that must not run twice, and sessions that must see their
+//! Failure tests of the journal: requests that must not run twice and sessions that must see their
 //! own writes, across lost leaseholders and standbys.
 
 use crate::common::key_made_at;
@@ -81,8 +81,8 @@
 }
 
 case! {
-    /// The leaseholder dies while a grant runs, and the caller resends it to the next leaseholder.
-    /// A second run would put two grants on one case; the caller hears that it may have run.
+    /// The leaseholder dies while a request runs, and the caller resends it to the successor. A
+    /// second run would repeat a write; the caller must be told that the request may have run.
     resend_after_takeover_never_runs_again {
         let mut journal = first_journal(&["vm-2", "vm-3"]);
         let mut second = empty_replica();
@@ -113,10 +113,10 @@
 }
 
 case! {
-    /// Leaseholder and both standbys are lost together. Nobody knows which requests were
-    /// dispatched, so a resend of an older one must be answered as doubtful, also when the
-    /// successor is lost in its turn.
-    lost_set_makes_older_keys_doubtful_for_good {
+    /// The leaseholder and both standbys are lost together, so the dispatched requests are unknown.
+    /// A resend of an older request must be answered as possibly run, also after the successor is
+    /// lost in turn.
+    loss_of_all_journals_leaves_older_keys_in_doubt {
         let present = placement("cases", 4, "vm-4", &["vm-5"]);
         let recovered = recover_journal(&[], PlacementEpoch(3), START_MS + 1_000);
         assert!(!recovered.is_complete());
@@ -143,8 +143,8 @@
 }
 
 case! {
-    /// A leaseholder that was cut off goes on after its successor has read a standby's journal. It
-    /// can't get a further key replicated, and so dispatches nothing.
+    /// A partitioned leaseholder continues after its successor has read a standby's journal. It
+    /// can't get another key replicated, and so dispatches nothing.
     former_leaseholder_is_stopped_by_its_standby {
         let mut journal = first_journal(&["vm-2"]);
         let mut replica = empty_replica();
@@ -162,8 +162,8 @@
 }
 
 case! {
-    /// A caller resends a request after a quarter of an hour, when its key has been forgotten, and
-    /// the leaseholder's wall clock has been set back. It must be refused, not run again.
+    /// A caller resends a request after its key was forgotten, and the leaseholder's wall clock has
+    /// been set back. The request must be refused, not run again.
     forgotten_key_is_expired_even_if_the_clock_is_set_back {
         let mut journal = first_journal(&[]);
         let key = key_made_at(START_MS, 1);
@@ -178,8 +178,8 @@
 }
 
 case! {
-    /// A request is refused under load before it runs, and the caller comes back with the same key
-    /// as it was told to. It must be let in; and two customers' equal keys never meet.
+    /// A request is refused under load before it runs, and the caller resends it with the same key,
+    /// as it was told to. It must be admitted. Equal keys of two customers are independent.
     refused_request_may_come_back_with_its_key {
         let mut journal = first_journal(&[]);
         let key = key_made_at(START_MS, 1);
@@ -194,8 +194,8 @@
 }
 
 case! {
-    /// A request that must not repeat answers with a large result and is resent. A part of the
-    /// result must not pass for the whole, so the caller hears that it may have run.
+    /// A request that must not repeat has a large result and is resent. Part of the result must not
+    /// pass for the whole, so the caller is told that the request may have run.
     large_answer_is_not_kept {
         let mut journal = first_journal(&[]);
         let key = key_made_at(START_MS, 1);
@@ -215,8 +215,8 @@
 }
 
 case! {
-    /// A standby restarts empty, and a copy of an old reset message reaches it late. It must not
-    /// take itself for whole: entries after that message would be missing after a takeover.
+    /// A standby restarts empty, and a delayed copy of an old reset arrives. The standby must not
+    /// consider itself complete: entries after that reset would be missing after a takeover.
     late_reset_doesnt_undo_later_entries {
         let mut journal = first_journal(&["vm-2"]);
         let vm = VmName::from("vm-2");
@@ -232,8 +232,8 @@
 }
 
 case! {
-    /// A standby's reply arrives after control has changed the standbys. It speaks of the former
-    /// epoch's numbers; counting it would dispatch a request whose key the standby lacks.
+    /// A standby's reply arrives after control has changed the standbys. Its number belongs to the
+    /// former epoch; if it counted, a request would be dispatched whose key the standby lacks.
     reply_of_a_former_epoch_is_not_counted {
         let mut journal = first_journal(&["vm-2"]);
         let vm = VmName::from("vm-2");
@@ -254,9 +254,9 @@
 }
 
 case! {
-    /// Several VMs drain one after the other, and the group is placed anew faster than its new
-    /// standbys get the journal. The copy of the last confirmed epoch still holds every key, so
-    /// callers' fresh requests must not be answered as doubtful.
+    /// Several VMs drain one after the other, and the group is placed again before its new standbys
+    /// receive the journal. The copy of the last confirmed epoch still holds every key, so new
+    /// requests must not be answered as possibly run.
     placements_that_never_dispatched_lose_nothing {
         let mut journal = first_journal(&["vm-2"]);
         let mut second = empty_replica();
@@ -277,8 +277,8 @@
 }
 
 case! {
-    /// The same, but a leaseholder in between had its epoch confirmed and may have dispatched. The
-    /// older copy can't know what, so older keys are doubtful.
+    /// As above, but a leaseholder in between had its epoch confirmed and may have dispatched
+    /// requests. The older copy can't contain their keys, so older keys are in doubt.
     older_copy_proves_nothing_once_a_later_epoch_is_confirmed {
         let mut journal = first_journal(&["vm-2"]);
         let mut second = empty_replica();
@@ -294,8 +294,8 @@
 }
 
 case! {
-    /// A session writes and then reads at the next leaseholder, through a replica that lags. The
-    /// read must wait for the session's write even though another VM noted it.
+    /// A session writes, and then reads at the next leaseholder from a lagging replica. The read
+    /// must cover the session's write although another VM recorded it.
     session_position_survives_a_takeover {
         let mut journal = first_journal(&["vm-2"]);
         let mut replica = empty_replica();
@@ -316,22 +316,22 @@
 enum JournalStep {
     /// A caller sends a request with one of a few keys to the leaseholder.
     Send(u8),
-    /// An append reaches a VM; its reply may be lost, and the append may come again later.
+    /// An append reaches a VM. Its reply may be lost, and the append may be delivered again later.
     Append {
         vm: u8,
         reply_lost: bool,
         again: bool,
     },
-    /// One of the delayed appends arrives.
+    /// A delayed append arrives.
     LateAppend(u8),
-    /// A running request is dispatched, if it may be.
+    /// A running request is dispatched if it is dispatchable.
     Dispatch(u8),
-    /// A dispatched request has its verdict.
+    /// A dispatched request gets its verdict.
     Decide(u8),
-    /// A VM's process is lost and starts anew without memory.
+    /// A VM's process is lost and restarts without its memory.
     Restart(u8),
-    /// The leaseholder's lease ends; another VM takes over. `silent` has a bit for each VM that
-    /// doesn't answer it.
+    /// The leaseholder's lease ends and another VM takes over. `silent` is a bit mask of the VMs
+    /// that don't reply to it.
     TakeOver {
         vm: u8,
         standbys: [u8; 2],
@@ -370,7 +370,7 @@
     }
 }
 
-/// Four VMs, one group, and a count of how often each request ran.
+/// Model of four VMs and one group that counts the runs of each request.
 struct JournalModel {
     placement: GroupPlacement,
     journals: BTreeMap<u8, GroupJournal>,
@@ -379,7 +379,7 @@
     runs: BTreeMap<u8, u32>,
     late: Vec<(u8, JournalAppend)>,
     now_ms: u64,
-    /// The last epoch that the agreed log shows as confirmed.
+    /// The last epoch that is confirmed in the agreed log.
     confirmed: PlacementEpoch,
 }
 
@@ -503,7 +503,7 @@
         }
     }
 
-    /// A VM restarts: its lease ends, it rejoins, and the groups that name it get a new epoch.
+    /// Restarts a VM: its lease ends, it rejoins, and the groups that name it get a new epoch.
     fn restart(&mut self, vm: u8) {
         self.journals.remove(&vm);
         let name = vm_name(vm);
@@ -579,8 +579,8 @@
 }
 
 case! {
-    /// Leaseholders and standbys restart, are replaced and read each other's journals in any
-    /// order, while appends are lost, delayed and doubled. No request may run twice.
+    /// Leaseholders and standbys restart, are replaced and read each other's journals in any order,
+    /// while appends are lost, delayed and duplicated. No request may run twice.
     no_request_runs_twice_in_random_runs {
         let runs = run_seeds(0x6a6f_0000, 4_000, 160, |steps: Vec<JournalStep>| {
             let mut model = JournalModel::new();
@@ -589,6 +589,6 @@
             }
             model.runs.len()
         });
-        assert!(runs > 2_000, "only {runs} requests ran: the runs say little");
+        assert!(runs > 2_000, "only {runs} requests ran, too few for a meaningful result");
     }
 }
--- a/crates/control/tests/state/leases.rs
+++ b/crates/control/tests/state/leases.rs
@@ -1,5 +1,5 @@
-//! Randomised runs of leases and placement: however messages are delayed, daemons restart and
-//! control leaders change, two processes never lead a group at once.
+//! Randomised tests of leases and placement: with delayed messages, restarting daemons and changing
+//! control leaders, two processes never lead a group at the same time.
 
 use crate::common::CatalogScript;
 use crate::common::member;
@@ -30,17 +30,17 @@
 enum LeaseStep {
     /// A process sends a heartbeat.
     Send(u8),
-    /// A heartbeat reaches the leader, or a former one that doesn't know yet.
+    /// A heartbeat reaches the leader, or a former leader that doesn't know of the election yet.
     Receive { choice: u8, former: bool },
     /// A grant reaches its process.
     Renew(u8),
-    /// The leader proposes what is due.
+    /// The leader proposes the due commands.
     Propose,
     /// A proposal is committed.
     Commit(u8),
-    /// Another control VM becomes leader; proposals are committed before or never.
+    /// Another control VM becomes the leader; pending proposals are committed before or never.
     Elect(u8),
-    /// A VM's daemon is started again, while the former process may still run.
+    /// A VM's daemon is started again while the former process may still be running.
     Restart(u8),
     /// A process drains: it stops serving its groups and proposes their next placements.
     Drain(u8),
@@ -73,7 +73,7 @@
     lease: MemberLease,
     copy: CatalogCopy,
     stopped: BTreeMap<GroupName, GroupPlacement>,
-    /// Whether the process is gone; its last messages may still arrive.
+    /// Whether the process has ended; its last messages may still arrive.
     ended: bool,
 }
 
@@ -115,9 +115,9 @@
 struct LeaseModel {
     script: CatalogScript,
     ledger: LeaseLedger,
-    /// The former leader, its catalog, and when its successor was elected. It may go on for as long as
-    /// it likes, but only with heartbeats after which a majority has confirmed that it leads; that was
-    /// before the election.
+    /// The former leader, its catalog, and when its successor was elected. It may continue
+    /// indefinitely, but only with heartbeats after which a majority confirmed that it leads, and
+    /// so with heartbeats sent before the election.
     former: Option<(LeaseLedger, CatalogState, ClockTime)>,
     processes: Vec<ProcessModel>,
     heartbeats: Vec<SentHeartbeat>,
@@ -125,7 +125,7 @@
     proposals: Vec<CatalogCommand>,
     now: ClockTime,
     served: usize,
-    /// Whether a restarted process shows that its predecessor has ended.
+    /// Whether a restarted process proves that its predecessor has ended.
     exclusive: bool,
 }
 
@@ -239,7 +239,7 @@
         let sent = self.grants.remove(index);
         let process = &mut self.processes[sent.process];
         if let Some(delta) = &sent.grant.delta {
-            // A grant that was overtaken brings a delta that is too old; it is passed over.
+            // An outdated grant contains a delta that is too old; it is ignored.
             let _ = process.copy.apply_delta(delta);
         }
         let held = process.copy.revision();
@@ -288,10 +288,10 @@
 }
 
 case! {
-    /// Daemons are killed and started again at the address where they listened before, which shows
-    /// that the former process has ended. They take its place at once; even so, with messages of the
-    /// former process still on their way, no group may be led by two processes.
-    successors_at_once_lead_alone {
+    /// Daemons are killed and restarted at their former address, which proves that the former
+    /// process has ended. They replace it at once; even with messages of the former process in
+    /// flight, no group may be led by two processes.
+    immediate_successors_lead_alone {
         let served = run_seeds(0x6c65_4000, 2_000, 400, |steps: Vec<LeaseStep>| {
             let mut model = LeaseModel::new(true);
             for step in steps {
@@ -304,9 +304,9 @@
 }
 
 case! {
-    /// Heartbeats, grants and proposals are late, daemons restart beside their former process,
-    /// leaders change and the former one goes on for a while. Two leaders of one group at a time
-    /// would both acknowledge writes, and callers would lose some of them.
+    /// Heartbeats, grants and proposals are delayed, daemons restart while their former process
+    /// runs, and former control leaders continue for a while. Two processes that lead one group
+    /// would both acknowledge writes, and some of these would be lost.
     no_group_is_led_by_two_processes {
         let served = run_seeds(0x6c65_0000, 2_000, 400, |steps: Vec<LeaseStep>| {
             let mut model = LeaseModel::new(false);
--- a/crates/control/tests/state/main.rs
+++ b/crates/control/tests/state/main.rs
@@ -1,4 +1,4 @@
-//! Failure tests and randomised runs of the catalog and of the machines around a group.
+//! Failure tests and randomised tests of the catalog and of the state machines of a group.
 
 #[macro_use]
 mod common;
--- a/crates/control/tests/state/membership.rs
+++ b/crates/control/tests/state/membership.rs
@@ -1,4 +1,4 @@
-//! Failure tests of leases and placement: cuts, restarts, new leaders and lost VMs.
+//! Failure tests of leases and placement: network partitions, restarts, new leaders and lost VMs.
 
 use ragwort_control::CatalogCopy;
 use ragwort_control::ClockTime;
@@ -69,7 +69,7 @@
         .collect()
 }
 
-fn most_led(script: &CatalogScript) -> usize {
+fn max_groups_led(script: &CatalogScript) -> usize {
     let mut counts: BTreeMap<VmName, usize> = BTreeMap::new();
     for placement in leaseholders(script).into_values() {
         *counts.entry(placement.leaseholder).or_default() += 1;
@@ -79,7 +79,7 @@
 
 fn lose_vm_and_replan(vms: u64, groups: u64) {
     let mut script = placed_catalog(vms, groups);
-    assert!(most_led(&script) <= load_cap(groups as usize, vms as usize));
+    assert!(max_groups_led(&script) <= load_cap(groups as usize, vms as usize));
     let before = leaseholders(&script);
     script.expect_done(CatalogCommand::RemoveMember(member(1, 1).id));
     let live = live_members(&script);
@@ -101,8 +101,8 @@
 }
 
 case! {
-    /// A heartbeat's answer is held up on its way. Counting the lease from its arrival would let
-    /// the member serve after control has given its groups away.
+    /// The reply to a heartbeat is delayed. If the lease counted from its arrival, the member would
+    /// still serve after control has given its groups to another.
     lease_counts_from_the_moment_of_sending {
         let grant = LeaseGrant { lease_ms: 2_000, revision: CatalogRevision(3), delta: None };
         let mut lease = MemberLease::new();
@@ -115,8 +115,9 @@
 }
 
 case! {
-    /// A member can't apply a delta but goes on sending heartbeats. If its lease were renewed, a
-    /// customer would be served under the replaced contract while operators read "in force".
+    /// A member can't apply a delta but continues to send heartbeats. If its lease were renewed, a
+    /// customer would be served under the replaced contract while operators are told that the new
+    /// one is in force.
     member_behind_the_grant_is_not_renewed {
         let grant = LeaseGrant { lease_ms: 2_000, revision: CatalogRevision(3), delta: None };
         let mut lease = MemberLease::new();
@@ -126,8 +127,8 @@
 }
 
 case! {
-    /// The control leader changes while a member is behind a cut with its lease still running. The
-    /// new leader knows nothing of that lease and must not give the member's groups away yet.
+    /// The control leader changes while a partitioned member's lease is still valid. The new leader
+    /// doesn't know that lease and must not give the member's groups to another yet.
     new_leader_waits_for_unknown_leases {
         let script = CatalogScript::with_members(1);
         let mut ledger = ledger();
@@ -138,9 +139,9 @@
 }
 
 case! {
-    /// A member is declared gone, and its heartbeat arrives before the removal is committed. A lease
+    /// The removal of a member is proposed, and its heartbeat arrives before the commit. A lease
     /// granted then would overlap with that of its successor.
-    condemned_member_gets_no_lease_until_it_rejoins {
+    member_due_for_removal_gets_no_lease_until_it_rejoins {
         let mut script = CatalogScript::with_members(1);
         let mut ledger = ledger();
         let due = ledger.due_commands(at(3_000), &script.state);
@@ -159,8 +160,8 @@
 }
 
 case! {
-    /// A daemon crashes and is started again at once. The new process must wait until the lease of
-    /// the old one has ended, and the old one must be told to stop if it still runs.
+    /// A daemon crashes and is restarted at once. The new process must wait until the old one's
+    /// lease has ended, and the old one must be told to stop if it is still running.
     restarted_daemon_waits_for_its_former_lease {
         let mut script = CatalogScript::with_members(1);
         let mut ledger = ledger();
@@ -179,7 +180,8 @@
     }
 }
 
-/// A heartbeat of a process that listens where nothing else may.
+/// Returns a heartbeat of a process that listens on an address of its VM that no other process can
+/// use.
 fn exclusive_heartbeat(number: u64, incarnation: u64, revision: u64) -> HeartbeatRequest {
     let mut request = heartbeat(number, incarnation, revision);
     request.member.traits.exclusive = true;
@@ -187,9 +189,9 @@
 }
 
 case! {
-    /// All control VMs lose power and come back. Their processes listen where the former ones did,
-    /// so those have ended for certain. If they waited for the former leases all the same, callers
-    /// would be refused for seconds after everything is up again.
+    /// All control VMs lose power and return. Their processes listen on the addresses of the former
+    /// ones, which have therefore ended. If they waited for the former leases nevertheless, callers
+    /// would be refused for seconds after everything is running again.
     process_at_its_predecessors_address_takes_its_place_at_once {
         let mut script = CatalogScript::with_members(0);
         let mut ledger = ledger();
@@ -210,7 +212,7 @@
         let due = successor.due_commands(at(102), &script.state);
         assert_eq!(due, vec![CatalogCommand::AdmitMember(back.member.clone())]);
         script.expect_done(due[0].clone());
-        // What the former process holds of the group's journal is gone with it.
+        // The former process's journal of the group is lost.
         let record = script.state.group(&names[0]).unwrap();
         assert!(record.placement.epoch > epoch);
         let revision = script.state.revision().0;
@@ -222,8 +224,8 @@
 }
 
 case! {
-    /// A VM's name turns up at another address while the former process may run. It must wait for
-    /// the former lease like any other.
+    /// A VM's name appears at another address while the former process may be running. The new
+    /// process must wait for the former lease like any other.
     process_at_another_address_waits {
         let mut script = CatalogScript::with_members(0);
         let mut ledger = ledger();
@@ -240,7 +242,7 @@
 
 case! {
     /// A change is accepted while one member is silent and another can't apply deltas. The operator
-    /// must see "in force" once both leases have ended, and not before.
+    /// must see it in force after both leases have ended, and not before.
     change_is_in_force_when_silent_leases_have_ended {
         let mut script = CatalogScript::with_members(3);
         let mut ledger = ledger();
@@ -265,23 +267,23 @@
 }
 
 case! {
-    /// One of today's eight VMs is lost. Only its groups may move, each to a standby that holds the
-    /// journal; any other move would pause callers for nothing.
+    /// One of 8 VMs is lost. Only its groups may move, each to a standby that holds the journal;
+    /// any other move would pause callers needlessly.
     loss_of_one_of_8_vms_moves_only_its_groups {
         lose_vm_and_replan(8, 6);
     }
 }
 
 case! {
-    /// One of 630 VMs is lost at the size that users expect in two years.
+    /// One of 630 VMs is lost, with the number of VMs and groups expected in two years.
     loss_of_one_of_630_vms_moves_only_its_groups {
         lose_vm_and_replan(630, 710);
     }
 }
 
 case! {
-    /// The first VM to join gets every group, because no other is there yet. When the others join,
-    /// it must shed all but its share, or one VM would carry the whole load.
+    /// The first VM to join gets every group because there is no other yet. After others have
+    /// joined, it must hand over all but its share, or it would carry the whole load.
     overloaded_and_draining_leaseholders_hand_over {
         let mut script = placed_catalog(1, 6);
         for number in 2..=8 {
@@ -296,7 +298,7 @@
         for plan in plan_handovers(&copy, &"vm-1".into()) {
             script.expect_done(CatalogCommand::PlaceGroup(plan));
         }
-        assert_eq!(most_led(&script), 1);
+        assert_eq!(max_groups_led(&script), 1);
 
         let leader = script.state.groups().next().unwrap().placement.leaseholder.clone();
         let mut draining = script.state.member(&leader).unwrap().clone();
@@ -310,8 +312,8 @@
 }
 
 case! {
-    /// Leaseholder and standbys in one failure domain would be lost together, and the journal with
-    /// them: callers would hear of doubtful outcomes that any standby elsewhere could settle.
+    /// If the leaseholder and its standbys were in one failure domain, they and the journal could
+    /// be lost together, and outcomes would be in doubt that a standby elsewhere could settle.
     group_is_spread_over_failure_domains {
         let script = placed_catalog(8, 6);
         for placement in leaseholders(&script).into_values() {
@@ -323,16 +325,17 @@
     }
 }
 
-fn brisk_heartbeat(lease_ms: u64, revision: u64) -> HeartbeatRequest {
+fn short_lease_heartbeat(lease_ms: u64, revision: u64) -> HeartbeatRequest {
     let mut heartbeat = heartbeat(1, 1, revision);
     heartbeat.member.lease_ms = lease_ms;
     heartbeat
 }
 
-/// Admits member 1 with the lease for which it asks, and returns its ledger.
-fn admit_brisk(script: &mut CatalogScript, lease_ms: u64) -> LeaseLedger {
+/// Admits member 1 with the lease that it requests, and returns the control leader's table of
+/// leases.
+fn admit_with_lease(script: &mut CatalogScript, lease_ms: u64) -> LeaseLedger {
     let mut ledger = ledger();
-    ledger.receive(at(0), &brisk_heartbeat(lease_ms, 0), &script.state);
+    ledger.receive(at(0), &short_lease_heartbeat(lease_ms, 0), &script.state);
     for command in ledger.due_commands(at(1), &script.state) {
         script.expect_done(command);
     }
@@ -340,14 +343,14 @@
 }
 
 case! {
-    /// A leaseholder's VM freezes. It had asked for a short lease, so its groups are given away when
-    /// that has ended, and callers don't wait for the longest lease there is. A new control leader
-    /// knows the length from the catalog.
+    /// A leaseholder's VM freezes. It requested a short lease, so its groups move when that lease
+    /// has ended, and callers needn't wait for the longest lease. A new control leader knows the
+    /// length from the catalog.
     short_lease_ends_early_for_every_leader {
         let mut script = CatalogScript::with_members(0);
-        let mut ledger = admit_brisk(&mut script, 600);
+        let mut ledger = admit_with_lease(&mut script, 600);
         let revision = script.state.revision().0;
-        let granted = ledger.receive(at(10), &brisk_heartbeat(600, revision), &script.state);
+        let granted = ledger.receive(at(10), &short_lease_heartbeat(600, revision), &script.state);
         assert_eq!(granted, LeaseDecision::Grant(Duration::from_millis(600)));
         assert!(ledger.due_commands(at(615), &script.state).is_empty());
         let gone = vec![CatalogCommand::RemoveMember(member(1, 1).id)];
@@ -359,19 +362,20 @@
 }
 
 case! {
-    /// A member has pauses and asks for a longer lease than before. Granted at once, it would outlast
-    /// what a new leader reads in the catalog, and two VMs would serve one group.
+    /// A member has pauses and requests a longer lease than before. If it were granted at once, it
+    /// would outlast the length that a new leader reads in the catalog, and two VMs would serve one
+    /// group.
     longer_lease_waits_for_the_catalog {
         let mut script = CatalogScript::with_members(0);
-        let mut ledger = admit_brisk(&mut script, 600);
+        let mut ledger = admit_with_lease(&mut script, 600);
         let revision = script.state.revision().0;
-        let asks = brisk_heartbeat(900, revision);
+        let asks = short_lease_heartbeat(900, revision);
         let granted = ledger.receive(at(10), &asks, &script.state);
         assert_eq!(granted, LeaseDecision::Grant(Duration::from_millis(600)));
         let due = ledger.due_commands(at(11), &script.state);
         assert_eq!(due, vec![CatalogCommand::AdmitMember(asks.member.clone())]);
         script.expect_done(due[0].clone());
-        let asks = brisk_heartbeat(900, script.state.revision().0);
+        let asks = short_lease_heartbeat(900, script.state.revision().0);
         let granted = ledger.receive(at(12), &asks, &script.state);
         assert_eq!(granted, LeaseDecision::Grant(Duration::from_millis(900)));
     }
@@ -382,8 +386,9 @@
 }
 
 case! {
-    /// A VM's processor is held back for a few tenths of a second now and then. With the shortest lease
-    /// it would stop serving each time though it lives; it asks for a lease that covers its pauses.
+    /// A VM's processor pauses for a few tenths of a second now and then. With the shortest lease,
+    /// the VM would stop serving each time without a fault; it requests a lease that covers its
+    /// pauses.
     pauses_lengthen_the_lease {
         let mut requested_lease = LeasePace::new(millis(150), millis(1_200));
         assert_eq!(requested_lease.lease(), millis(600));
@@ -392,16 +397,16 @@
         assert!(requested_lease.note_round(millis(400)));
         assert_eq!(requested_lease.lease(), millis(750));
         assert!(!requested_lease.note_round(millis(10)));
-        assert_eq!(requested_lease.lease(), millis(750), "it never asks for less again");
+        assert_eq!(requested_lease.lease(), millis(750), "the requested length never falls");
         assert!(requested_lease.note_round(millis(1_100)));
         assert_eq!(requested_lease.lease(), millis(1_200));
     }
 }
 
 case! {
-    /// A VM was frozen for seconds. No lease could cover that, and a longer one would only keep its
-    /// groups from a successor the next time.
-    freeze_is_no_pause {
+    /// A VM was frozen for seconds. No lease could cover that, and a longer one would only delay
+    /// its groups' next takeover.
+    long_freeze_does_not_lengthen_the_lease {
         let mut requested_lease = LeasePace::new(millis(150), millis(1_200));
         assert!(!requested_lease.note_round(millis(7_000)));
         assert_eq!(requested_lease.lease(), millis(600));
--- a/crates/control/tests/state/native_roles.rs
+++ b/crates/control/tests/state/native_roles.rs
@@ -1,4 +1,4 @@
-//! Which instance is taken for the primary when instances disagree.
+//! Tests of the choice of the primary when instances disagree.
 
 use ragwort_control::ClockTime;
 use ragwort_control::RoleBoard;
@@ -33,8 +33,8 @@
 }
 
 case! {
-    /// A former primary behind a cut goes on calling itself the primary, and its announcements come
-    /// by another way. Writes must go to the one of the later term.
+    /// A partitioned former primary still claims to be the primary, and its announcements arrive by
+    /// another path. Writes must go to the primary of the later term.
     later_term_decides {
         let mut board = RoleBoard::default();
         claim(&mut board, 1, 3);
@@ -46,8 +46,8 @@
 }
 
 case! {
-    /// A leaseholder takes over and knows the endpoints from its predecessor. The first that answers
-    /// is a primary that was replaced behind a cut. Writes sent there would be lost.
+    /// A new leaseholder knows the endpoints from its predecessor, and the first one that answers
+    /// is a primary that was replaced while partitioned. Writes sent to it would be lost.
     predecessors_term_is_not_gone_below {
         let mut board = RoleBoard::new(GroupTerm(4));
         board.expect(NOW, &name(1), false);
@@ -60,8 +60,8 @@
 }
 
 case! {
-    /// An instance calls itself the primary and hasn't said in which term. It may be one that was
-    /// replaced long ago: what it holds must not be taken for all that there is.
+    /// An instance claims to be the primary without a known term. It may have been replaced long
+    /// ago, so its data must not be considered complete.
     claim_without_a_term_counts_for_nothing {
         let mut board = RoleBoard::default();
         board.hear(NOW, &name(1), InstanceRole::Primary, false);
@@ -71,9 +71,9 @@
 }
 
 case! {
-    /// The primary of term 4 is gone, and that of term 3 still calls itself the primary. It lacks
-    /// what was acknowledged since, so the group has no primary rather than this one.
-    earlier_primary_is_not_taken_back {
+    /// The primary of term 4 is gone, and that of term 3 still claims to be the primary. It lacks
+    /// what was acknowledged since, so the group must have no primary.
+    earlier_primary_is_not_accepted_again {
         let mut board = RoleBoard::default();
         claim(&mut board, 1, 3);
         claim(&mut board, 2, 4);
@@ -84,7 +84,7 @@
 
 case! {
     /// The primary refuses a write: it was replaced and hasn't announced that yet. It must be asked
-    /// before it is trusted again.
+    /// for a report before it is used again.
     refused_write_ends_a_claim {
         let mut board = RoleBoard::default();
         claim(&mut board, 1, 3);
--- a/crates/control/tests/state/positions.rs
+++ b/crates/control/tests/state/positions.rs
@@ -1,4 +1,4 @@
-//! What reads must see, and how far replicas are taken to be.
+//! Tests of the positions that reads must cover and of the estimated positions of replicas.
 
 use ragwort_control::ClockTime;
 use ragwort_control::PositionHistory;
@@ -19,7 +19,7 @@
     LogPosition::new(GroupTerm(term), index)
 }
 
-/// Returns a history with one commit each 10 ms from 1,010 ms on, the first at index 101.
+/// Returns a history with one commit every 10 ms from 1,010 ms on, the first at index 101.
 fn steady_history(commits: u64) -> PositionHistory {
     let mut history = PositionHistory::default();
     history.begin(position(1, 100));
@@ -30,8 +30,8 @@
 }
 
 case! {
-    /// A read allows data of 100 ms. It must see what was acknowledged longer ago than that, and
-    /// needn't see more; asking for more would keep it from replicas.
+    /// A read accepts data up to 100 ms old. It must cover what was acknowledged longer ago than
+    /// that and no more; a higher position would keep it from replicas.
     aged_read_sees_what_is_older_than_its_age {
         let history = steady_history(50);
         let now = at(1_500);
@@ -43,8 +43,9 @@
 
 case! {
     /// A leaseholder has just found the primary and doesn't know when its writes were acknowledged.
-    /// A read of any age must see all of them, or it could miss one from before that age.
-    new_leaseholder_asks_for_all_it_found {
+    /// A read with any maximum age must cover all of them, or it could miss one that is older than
+    /// that.
+    new_leaseholder_requires_all_existing_writes {
         let mut history = steady_history(50);
         history.begin(position(2, 160));
         assert_eq!(history.required(at(1_600), millis(5_000)), position(2, 160));
@@ -52,9 +53,9 @@
 }
 
 case! {
-    /// A promotion dropped the last writes of a session. Its reads must not wait for a position that
-    /// nobody holds any more.
-    dropped_position_is_asked_for_no_more {
+    /// A promotion dropped the last writes of a session. Its reads must not wait for a position
+    /// that no instance holds.
+    dropped_position_is_no_longer_required {
         let mut history = steady_history(50);
         history.begin(position(2, 140));
         assert_eq!(history.clamp(position(1, 150)), position(2, 140));
@@ -64,8 +65,8 @@
 }
 
 case! {
-    /// Writes go on for an hour. The marks stay bounded, and a read still sees all that is older
-    /// than the oldest mark.
+    /// Writes continue for an hour. The number of marks stays bounded, and a read still covers
+    /// everything older than the oldest mark.
     marks_are_bounded {
         let history = steady_history(360_000);
         let now = at(1_000 + 3_600_000);
@@ -75,9 +76,9 @@
 }
 
 case! {
-    /// A replica falls behind by seconds and refuses reads, then catches up. While it is behind it
-    /// must not be asked for what it lacks, and when it has caught up reads must go there again,
-    /// though nothing was heard of it meanwhile.
+    /// A replica falls behind by seconds and refuses reads, then catches up. It must not be sent
+    /// reads that it can't serve, and must be sent reads again after it has caught up, although it
+    /// gave no answer in the meantime.
     replica_that_caught_up_is_tried_again {
         let history = steady_history(2_000);
         let mut replica = ReplicaEstimate::default();
@@ -96,8 +97,8 @@
 }
 
 case! {
-    /// A replica's answer shows how far it is. What it has shown it is known to hold.
-    shown_position_counts_at_once {
+    /// A replica's answer contains its position, which it is known to hold.
+    reported_position_counts_at_once {
         let history = steady_history(50);
         let mut replica = ReplicaEstimate::default();
         replica.refuse(at(1_490), position(1, 145), None);
@@ -107,9 +108,9 @@
 }
 
 case! {
-    /// A replica stands before the place where the present primary began. Reads that must see that
-    /// place would all be refused there.
-    replica_behind_the_start_is_not_taken_for_whole {
+    /// A replica's position is below the one at which the present primary began. It would refuse
+    /// every read that must cover that position.
+    replica_behind_the_start_is_not_overestimated {
         let mut history = PositionHistory::default();
         history.begin(position(1, 86));
         let mut replica = ReplicaEstimate::default();
@@ -118,15 +119,15 @@
     }
 }
 
-/// Reads, answered by a replica that applies each write some time after it was acknowledged.
+/// Simulation of reads from a replica that applies each write some time after it was acknowledged.
 struct LagReplay {
     history: PositionHistory,
     replica: ReplicaEstimate,
-    /// From when on the replica has which lag.
+    /// The replica's lags, each with the time from which it applies, in milliseconds.
     lags: Vec<(u64, u64)>,
-    /// The ages that the reads of one moment allow.
+    /// The maximum ages of the reads that are sent at one time.
     allowed: [Duration; 4],
-    /// Reads that the replica could have served, those that it served, and those that it refused.
+    /// The numbers of reads that the replica could have served, did serve and refused.
     possible: u32,
     served: u32,
     refused: u32,
@@ -147,9 +148,9 @@
         }
     }
 
-    /// Returns where the replica stands. Writes are acknowledged each 10 ms, number by number; what was
-    /// applied stays so when the lag grows.
-    fn stand(&self, now_ms: u64) -> LogPosition {
+    /// Returns the replica's position. A write is acknowledged every 10 ms, and writes that were
+    /// applied stay applied when the lag grows.
+    fn replica_position(&self, now_ms: u64) -> LogPosition {
         let begun = self.lags.iter().filter(|(from, _)| *from <= now_ms);
         let applied = begun.enumerate().map(|(place, (_, lag))| {
             let next = self.lags.get(place + 1).map(|(from, _)| *from);
@@ -159,7 +160,7 @@
         position(1, applied.max().unwrap_or_default())
     }
 
-    /// Runs from one moment to another, with four reads each 10 ms.
+    /// Simulates the time from `from_ms` to `until_ms` with four reads every 10 ms.
     fn run(&mut self, from_ms: u64, until_ms: u64) {
         for now_ms in (from_ms..until_ms).step_by(10) {
             self.history.note(at(now_ms), position(1, now_ms / 10));
@@ -172,25 +173,25 @@
     fn read(&mut self, now_ms: u64, allowed: Duration) {
         let now = at(now_ms);
         let floor = self.history.required(now, allowed);
-        let stands = self.stand(now_ms);
-        self.possible += u32::from(stands >= floor);
+        let position_held = self.replica_position(now_ms);
+        self.possible += u32::from(position_held >= floor);
         if self.replica.assume(now, &self.history) < floor {
             return;
         }
-        self.replica.learn(now, stands, &self.history);
-        if stands >= floor {
+        self.replica.learn(now, position_held, &self.history);
+        if position_held >= floor {
             self.served += 1;
         } else {
             self.refused += 1;
-            self.replica.refuse(now, floor, Some(stands));
+            self.replica.refuse(now, floor, Some(position_held));
         }
     }
 }
 
 case! {
-    /// A replica falls 2.4 s behind for six seconds. Three of four reads allow 2.5 s, which it can serve,
-    /// and one allows 1.5 s. The refusals of the one kind must not keep the other from it: each read
-    /// that is kept from it takes a slot of the primary, which has a third of all.
+    /// A replica lags by 2.4 s for six seconds. Three of four reads accept 2.5 s, which it can
+    /// serve, and one accepts 1.5 s. Refusals of the latter must not keep the former away: each of
+    /// them would take a slot of the primary, which has a third of all slots.
     replica_behind_serves_what_its_position_allows {
         let lags = [(0, 20), (4_000, 2_400), (10_000, 20)];
         let mut replay = LagReplay::new(&lags, [2_500, 1_500, 2_500, 2_500]);
@@ -203,9 +204,10 @@
 }
 
 case! {
-    /// A replica is 3 s behind and reads allow 1.5 s: for seconds it can serve nothing. Few reads lose a
-    /// round trip to find out that it is still so, and when it has caught up it serves again within half
-    /// a second. Callers were refused at a primary alone for 3.5 s after such a trouble had ended.
+    /// A replica lags by 3 s and reads accept 1.5 s, so for seconds it can serve none. Few reads
+    /// may lose a round trip to detect that, and the replica must serve again within half a second
+    /// after it has caught up. Reads were once kept from it for 3.5 s longer, and callers were
+    /// refused at the primary.
     replica_that_caught_up_serves_soon {
         let mut replay = LagReplay::new(&[(0, 20), (4_000, 3_000), (10_000, 20)], [1_500; 4]);
         replay.run(2_000, 10_000);
--- a/crates/control/tests/state/primary_absence.rs
+++ b/crates/control/tests/state/primary_absence.rs
@@ -1,4 +1,4 @@
-//! Failure tests of the time in which a group has no primary.
+//! Failure tests of groups without a primary.
 
 use ragwort_control::ClockTime;
 use ragwort_control::EndpointKnowledge;
@@ -9,8 +9,8 @@
     ClockTime::from_millis(millis)
 }
 
-/// Begins at zero with two replicas that announce themselves once.
-fn hear_replicas() -> HeadlessWatch {
+/// Starts at zero with two replicas, each of which announces itself once.
+fn announce_replicas() -> HeadlessWatch {
     let mut watch = HeadlessWatch::default();
     watch.begin(after(0));
     watch.hear(&"cases-2".into());
@@ -19,17 +19,18 @@
 }
 
 case! {
-    /// A leaseholder that hears late replaced a living primary that had yet to announce itself.
-    primary_that_announces_itself_late_is_not_missing {
-        let watch = hear_replicas();
+    /// A leaseholder that received the primary's first announcement late would replace a running
+    /// primary.
+    late_announcement_of_the_primary_is_awaited {
+        let watch = announce_replicas();
         assert!(!watch.is_primary_missing(after(10_000), EndpointKnowledge::Heard));
     }
 }
 
 case! {
-    /// A group whose primary never comes would stay without one.
-    primary_that_nobody_heard_is_missing_in_the_end {
-        let mut watch = hear_replicas();
+    /// A group whose primary never announces itself must get another one.
+    unannounced_primary_is_missing_after_second_announcements {
+        let mut watch = announce_replicas();
         watch.hear(&"cases-2".into());
         assert!(!watch.is_primary_missing(after(10_000), EndpointKnowledge::Heard));
         watch.hear(&"cases-3".into());
@@ -39,9 +40,10 @@
 }
 
 case! {
-    /// An endpoint that announced itself once and is gone would keep the group without a primary.
+    /// An endpoint that announced itself once and then disappeared must not keep the group without
+    /// a primary.
     endpoint_that_is_gone_is_not_waited_for {
-        let mut watch = hear_replicas();
+        let mut watch = announce_replicas();
         watch.hear(&"cases-2".into());
         watch.forget(&"cases-3".into());
         assert!(watch.is_primary_missing(after(2_500), EndpointKnowledge::Heard));
@@ -49,7 +51,8 @@
 }
 
 case! {
-    /// Endpoints that a former leaseholder noted were asked already: callers needn't wait for more.
+    /// Endpoints that a former leaseholder recorded have already been asked, so callers needn't
+    /// wait for their announcements.
     noted_endpoints_need_no_announcement {
         let mut watch = HeadlessWatch::default();
         watch.begin(after(0));
--- a/crates/control/tests/state/promotion.rs
+++ b/crates/control/tests/state/promotion.rs
@@ -1,5 +1,5 @@
-//! Randomised runs of promotions: instances with asynchronous replication, cuts, lost answers, late
-//! requests, and leaseholders that are replaced at any moment.
+//! Randomised tests of promotions: asynchronous replication, network partitions, lost replies, late
+//! requests and leaseholders that are replaced at any time.
 
 use crate::common::CatalogScript;
 use crate::common::instance_change;
@@ -33,35 +33,35 @@
 
 #[derive(Clone, Copy, Debug)]
 enum RunStep {
-    /// The leaseholder sends a write to the primary; its answer may be held up.
+    /// The leaseholder sends a write to the primary; its answer may be delayed.
     Write { late: bool },
-    /// The answer to a write arrives after others, or never.
+    /// A delayed answer to a write arrives.
     LateAnswer(u8),
     /// An instance restarts.
     Restart(u8),
-    /// A replica takes entries from the primary.
+    /// A replica copies entries from the primary.
     Replicate(u8),
-    /// An instance's status is asked for; the answer may arrive later.
+    /// An instance's status is requested; the reply may be delayed.
     Report { instance: u8, late: bool },
-    /// A status that was held up arrives.
+    /// A delayed status arrives.
     LateReport(u8),
-    /// The detector takes the primary for dead, rightly or not.
+    /// The detector suspects the primary, rightly or wrongly.
     Suspect,
-    /// One of the requested actions is carried out, and its answer arrives or is lost.
+    /// One of the pending actions is carried out, and its reply arrives or is lost.
     Act { choice: u8, answer_lost: bool },
-    /// A request whose answer was given up on reaches its agent late.
+    /// A request whose reply is no longer awaited reaches its agent late.
     LateRequest(u8),
-    /// An instance is cut off; when most are, all come back.
+    /// An instance is partitioned; if that would cut off a majority, all partitions heal.
     Cut(u8),
-    /// The leaseholder dies; the next one resumes from the catalog.
+    /// The leaseholder dies, and its successor resumes from the catalog.
     TakeOver,
     /// Control changes the standbys under the same leaseholder.
     ChangeEpoch,
-    /// The leaseholder's copy of the catalog catches up.
+    /// The leaseholder's copy of the catalog is brought up to date.
     Learn,
     /// Time passes.
     Tick,
-    /// The leaseholder wants to add or remove an instance.
+    /// The leaseholder adds or removes an instance if that is allowed.
     ChangeSet { instance: u8, add: bool },
 }
 
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Checks what must hold whenever a primary is recorded.
+    /// Checks the invariants of a recorded primary: it holds every acknowledged write.
     fn check_primary(&self) {
         let record = self.record();
         let primary = record.primary.unwrap();
@@ -421,7 +421,8 @@
         }
     }
 
-    /// Heals everything and checks that the group is served again and writes are acknowledged.
+    /// Heals all partitions and checks that the group is served again and that writes are
+    /// acknowledged.
     fn expect_recovery(&mut self) {
         self.cut.clear();
         let before = self.acknowledged.len();
@@ -470,31 +471,31 @@
 }
 
 case! {
-    /// Primaries of a group of three are cut off or taken for dead at any moment, while answers
-    /// get lost and leaseholders die midway. A caller must find every acknowledged write later.
+    /// Primaries in a group of three are partitioned or suspected at any time, while replies are
+    /// lost and leaseholders die. No acknowledged write may be lost.
     three_instances_lose_no_acknowledged_write {
         run_promotions(0x7072_0000, 3);
     }
 }
 
 case! {
-    /// The same with four instances, where a majority is three and a tie has no winner.
+    /// The same with four instances, where a majority is three and a tie decides nothing.
     four_instances_lose_no_acknowledged_write {
         run_promotions(0x7072_4000, 4);
     }
 }
 
 case! {
-    /// The same with five instances, two of which may be away without a pause.
+    /// The same with five instances, two of which may be unavailable without an interruption.
     five_instances_lose_no_acknowledged_write {
         run_promotions(0x7072_8000, 5);
     }
 }
 
 case! {
-    /// The record of a primary is refused because its instance left the set meanwhile, and the
-    /// delta that shows the begun term arrives afterwards. Promoting again in that term would give
-    /// it two primaries; the next term has to be begun.
+    /// The record of a primary is refused because its instance left the set, and the delta with the
+    /// new term arrives afterwards. Another promotion in that term would give it two primaries, so
+    /// the next term must be proposed.
     refused_record_leads_to_the_next_term {
         let mut model = PromotionModel::new(3);
         model.expect_recovery();
@@ -517,20 +518,20 @@
 }
 
 case! {
-    /// The instances hold data from before their first term, and the one with most of it answers
-    /// last. Promoting a majority's best would drop that data.
+    /// The instances hold data from before their first term, and the one with the most data answers
+    /// last. Promoting the best instance of a majority would lose that data.
     first_primary_is_chosen_among_all_instances {
         let mut model = PromotionModel::new(3);
-        let rich = model.endpoints.pick(2);
-        model.endpoints.load(&rich, LogEntry { term: GroupTerm(0), value: Some(77) });
-        model.cut.insert(rich.clone());
+        let longest = model.endpoints.pick(2);
+        model.endpoints.load(&longest, LogEntry { term: GroupTerm(0), value: Some(77) });
+        model.cut.insert(longest.clone());
         for _ in 0..20 {
             model.step(RunStep::Tick);
             model.step(RunStep::Act { choice: 0, answer_lost: false });
         }
         assert_eq!(model.serving, None);
         model.expect_recovery();
-        assert!(model.endpoints.holds(&rich, 77));
-        assert_eq!(model.record().primary, Some(rich));
+        assert!(model.endpoints.holds(&longest, 77));
+        assert_eq!(model.record().primary, Some(longest));
     }
 }
--- a/crates/control/tests/state/proximity.rs
+++ b/crates/control/tests/state/proximity.rs
@@ -1,4 +1,4 @@
-//! Which VM leads a group whose endpoints are known.
+//! Tests of the choice of the leaseholder for a group whose endpoints are recorded.
 
 use crate::common::CatalogScript;
 use crate::common::announcement;
@@ -23,8 +23,8 @@
     announcement("cases", name, domain)
 }
 
-/// Creates four VMs, each in its own domain. The first leads the group, whose primary is in domain 2
-/// and whose replica is in domain 3.
+/// Creates four VMs, each in its own domain, and a group led by one of them, with its primary in
+/// domain 2 and its replica in domain 3.
 fn distant_group(leaseholder: &str) -> CatalogScript {
     let mut script = CatalogScript::with_members(0);
     for number in 1..=4 {
@@ -48,7 +48,7 @@
     script
 }
 
-fn approach(script: &CatalogScript, vm: &str, unused: bool) -> Option<VmName> {
+fn planned_leaseholder(script: &CatalogScript, vm: &str, unused: bool) -> Option<VmName> {
     let mut copy = CatalogCopy::new();
     copy.apply_delta(&script.state.delta_since(copy.revision()))
         .unwrap();
@@ -57,34 +57,34 @@
 }
 
 case! {
-    /// A leaseholder has no endpoint in its failure domain. Each statement crosses between domains
-    /// twice, and a user notices by the bill and by slower writes. It hands the group over.
+    /// A leaseholder has no endpoint in its failure domain, so each statement crosses domains
+    /// twice, which adds latency and traffic costs. It hands the group over.
     leaseholder_without_an_endpoint_nearby_hands_over {
         let script = distant_group("vm-1");
-        assert_eq!(approach(&script, "vm-1", false), Some("vm-2".into()));
+        assert_eq!(planned_leaseholder(&script, "vm-1", false), Some("vm-2".into()));
     }
 }
 
 case! {
-    /// A leaseholder has a replica nearby, and serves. Moving to the primary would save less than
-    /// its pause costs callers. One that has served nothing moves there: each statement of an urgent
-    /// transaction would cross to another domain and back, and its user would wait for all of them.
+    /// A leaseholder near a replica serves requests. Moving to the primary would save less than its
+    /// pause costs callers. If it has served nothing yet, it does move there: otherwise each
+    /// statement of an urgent transaction would cross to another domain and back.
     serving_leaseholder_near_an_endpoint_stays {
         let script = distant_group("vm-3");
-        assert_eq!(approach(&script, "vm-3", false), None);
-        assert_eq!(approach(&script, "vm-3", true), Some("vm-2".into()));
+        assert_eq!(planned_leaseholder(&script, "vm-3", false), None);
+        assert_eq!(planned_leaseholder(&script, "vm-3", true), Some("vm-2".into()));
         let script = distant_group("vm-2");
-        assert_eq!(approach(&script, "vm-2", true), None);
+        assert_eq!(planned_leaseholder(&script, "vm-2", true), None);
     }
 }
 
 case! {
-    /// The VM near the primary leads its share of groups already. A group that moved there would be
-    /// moved away again at once, and callers would meet two pauses.
-    full_vm_is_not_approached {
+    /// The VM near the primary already leads its share of groups. A group that moved there would be
+    /// moved away again at once, and callers would be paused twice.
+    group_does_not_move_to_a_full_vm {
         let mut script = distant_group("vm-1");
         script.expect_done(CatalogCommand::PlaceGroup(placement("other", 1, "vm-2", &[])));
-        assert_eq!(approach(&script, "vm-1", false), Some("vm-3".into()));
+        assert_eq!(planned_leaseholder(&script, "vm-1", false), Some("vm-3".into()));
     }
 }
 
@@ -117,7 +117,7 @@
     script
 }
 
-/// Makes each VM hand over what it should, and says whether any had to.
+/// Lets each VM hand over one group that it should, and returns whether there was any.
 fn hand_over_all(script: &mut CatalogScript) -> bool {
     let vms: Vec<VmName> = script
         .state
@@ -130,7 +130,7 @@
         copy.apply_delta(&script.state.delta_since(copy.revision()))
             .unwrap();
         let due = plan_handovers(&copy, &vm).into_iter();
-        // A VM hands one group over at a time, and looks again.
+        // A VM hands over one group at a time and then plans again.
         let plan = due.chain(plan_approaches(&copy, &vm, false)).next();
         if let Some(plan) = plan {
             script.expect_done(CatalogCommand::PlaceGroup(plan));
@@ -141,9 +141,10 @@
 }
 
 case! {
-    /// A VM is lost, and the rest lead uneven numbers of groups, some far from their endpoints. If
-    /// one rule moved a group where another moves it away, it would wander between two VMs without
-    /// end, and its callers would be refused for as long. Each group comes to rest.
+    /// After the loss of a VM, the others lead uneven numbers of groups, some far from their
+    /// endpoints. If one rule moved a group to where another moves it away, the group would move
+    /// between two VMs without end, and its callers would be refused meanwhile. The handovers must
+    /// end.
     groups_come_to_rest {
         for seed in 0..2_000 {
             let mut script = scattered_groups(seed);
@@ -154,8 +155,8 @@
 }
 
 case! {
-    /// A leaseholder's VM is lost. Its successor is one near the endpoints, so that the group needn't
-    /// move a second time.
+    /// A leaseholder's VM is lost. Its successor must be near the endpoints, so that the group
+    /// needn't move a second time.
     successor_is_near_the_endpoints {
         let mut script = distant_group("vm-1");
         script.expect_done(CatalogCommand::RemoveMember(member(1, 1).id));
--- a/crates/control/tests/state/quorum.rs
+++ b/crates/control/tests/state/quorum.rs
@@ -1,4 +1,5 @@
-//! Failure tests of majorities: cut-off primaries, lagging replicas and changes of the set.
+//! Failure tests of majorities: partitioned primaries, lagging replicas and changes of the instance
+//! set.
 
 use ragwort_control::CatalogState;
 use ragwort_control::ClockTime;
@@ -47,8 +48,8 @@
 }
 
 case! {
-    /// The primary answers a commit and is cut off before a replica has it. Acknowledging it there
-    /// and then would lose the write with the primary; the caller would have to find that out.
+    /// The primary answers a commit and is partitioned before a replica has the write. If the write
+    /// were acknowledged by then, it would be lost with the primary.
     write_waits_for_a_majority {
         let mut quorum = quorum();
         quorum.report(now(), now(), &name("a"), status(1, 1, 20));
@@ -62,8 +63,8 @@
 }
 
 case! {
-    /// A replica was fenced for the next term by another leaseholder. It must not help the former
-    /// primary to an acknowledgement, and its answer tells that the term is over.
+    /// Another leaseholder has fenced a replica for the next term. The replica must not count for
+    /// the former primary's writes, and its reply shows that the term is over.
     replica_of_a_later_term_isnt_counted {
         let mut quorum = quorum();
         quorum.await_majority(position(20));
@@ -75,8 +76,8 @@
 }
 
 case! {
-    /// A replica still holds a tail of an earlier term with a higher index. Counting it would
-    /// acknowledge a write that it doesn't hold.
+    /// A replica still holds a tail of an earlier term with a higher index. If it counted, a write
+    /// that it lacks would be acknowledged.
     tail_of_an_earlier_term_isnt_counted {
         let mut quorum = quorum();
         quorum.report(now(), now(), &name("a"), status(1, 1, 8));
@@ -88,8 +89,8 @@
 }
 
 case! {
-    /// A promotion ends the term while writes wait. They must be answered as doubtful at once, not
-    /// left to their deadlines.
+    /// A promotion ends the term while writes wait. They must be answered as possibly run at once,
+    /// not at their deadlines.
     waiting_writes_end_with_their_term {
         let mut script = formed_group(&["a", "b", "c"]);
         let mut quorum = PositionQuorum::new(&record(&script.state));
@@ -101,8 +102,8 @@
 }
 
 case! {
-    /// A cut-off primary still answers reads that allow no age. The read is answered only if a
-    /// majority was asked after it began; an older answer proves nothing about it.
+    /// A partitioned primary still answers reads that require the latest data. Such a read may be
+    /// answered only if a majority was asked after the read began; an older reply proves nothing.
     read_is_confirmed_by_answers_asked_for_after_it_began {
         let mut quorum = quorum();
         let first = quorum.join_read();
@@ -120,8 +121,8 @@
 }
 
 case! {
-    /// A new instance joins empty, or two leave in turn, while only some hold the latest writes. A
-    /// majority of the new set might hold none of them, and a promotion would lose them.
+    /// A new instance joins empty, or two instances leave in turn, while only some hold the latest
+    /// writes. A majority of the new set might hold none of them, and a promotion would lose them.
     set_changes_only_while_acknowledged_writes_stay_covered {
         let mut quorum = quorum();
         quorum.await_majority(position(20));
@@ -140,8 +141,8 @@
 }
 
 case! {
-    /// The answer to a set change is lost, so it may be committed or not. Writes must be held by a
-    /// majority of both sets until it is known.
+    /// The reply to a set change is lost, so it may be committed or not. Until that is known,
+    /// writes must be held by a majority of both sets.
     unknown_set_change_needs_both_majorities {
         let mut quorum = quorum();
         quorum.report(now(), now(), &name("d"), status(1, 1, 0));
@@ -156,8 +157,8 @@
 }
 
 case! {
-    /// A replica stops following while the primary takes writes. Its data grows older by the
-    /// leaseholder's own clock, and a read with an allowed age must not be sent there for long.
+    /// A replica stops following while the primary accepts writes. The age of its data grows by the
+    /// leaseholder's own clock, and reads with a maximum age must soon not be sent there.
     age_of_a_replica_grows_from_the_primarys_next_write {
         let mut quorum = quorum();
         let at = |millis: u64| ClockTime::from_millis(1_000 + millis);
@@ -177,8 +178,8 @@
 }
 
 case! {
-    /// Two of three instances stop following. A write must wait for one of them, and the time that
-    /// it waits at least is that of the one that is less far behind.
+    /// Two of three instances stop following. A write must wait for at least one of them, so the
+    /// majority's lag is that of the one with the smaller lag.
     majority_lags_like_its_fastest_replica {
         let mut quorum = quorum();
         let at = |millis: u64| ClockTime::from_millis(1_000 + millis);
@@ -197,9 +198,9 @@
 }
 
 case! {
-    /// Agents hold a question until something changes, so their answers are old when they come. The
-    /// instances hold the same. A write was refused because a majority was taken to be behind by as
-    /// much as the answers were old.
+    /// Agents delay the reply to a status request until something changes, so a reply is old when
+    /// it arrives although the instances hold the same. A write must not be refused because the age
+    /// of the replies was taken for a lag.
     age_of_a_status_is_no_lag {
         let mut quorum = quorum();
         let at = |millis: u64| ClockTime::from_millis(1_000 + millis);
@@ -212,9 +213,9 @@
 }
 
 case! {
-    /// The primary is seen for the first time, and answers a write within the same few milliseconds. A
-    /// replica that stands where the primary began must keep an age: without one it would serve no read.
-    first_sighting_is_kept_beside_a_write {
+    /// The primary's first sample and the answer to a write arrive within a few milliseconds. A
+    /// replica at the first position must have a known age; without one it would serve no read.
+    first_sample_is_not_merged_with_a_write {
         let mut quorum = quorum();
         let at = |millis: u64| ClockTime::from_millis(1_000 + millis);
         quorum.report(at(0), at(1), &name("a"), status(1, 1, 15));
@@ -226,9 +227,9 @@
 }
 
 case! {
-    /// Replication has stopped, and a write that had 400 ms was given up on. A further one with no more
-    /// time can only end in doubt too, until a majority holds the first.
-    write_that_was_given_up_on_speaks_against_the_next {
+    /// Replication has stopped, and a write that was given 400 ms ran out of time. Until a majority
+    /// holds it, another write with no more time can only end with an unknown outcome too.
+    overdue_write_predicts_that_the_next_is_overdue {
         let mut quorum = quorum();
         let limit = Duration::from_millis(400);
         let shorter = Duration::from_millis(399);
@@ -248,9 +249,10 @@
 }
 
 case! {
-    /// The agent was asked where the primary stands, a write ran and was answered, and only then the
-    /// agent's answer arrives. Taken for the present, it would hide the write: its session would find
-    /// no instance that holds it, and a later status of the same place would make replicas look fresh.
+    /// The primary's status is requested, a write runs and is answered, and then the reply to the
+    /// status request arrives. If it replaced the newer position, the session of the write would
+    /// find no instance that holds it, and a later status with the same position would make
+    /// replicas look up to date.
     status_overtaken_by_an_answer_changes_nothing {
         let mut quorum = quorum();
         let at = |millis: u64| ClockTime::from_millis(1_000 + millis);
@@ -266,9 +268,9 @@
 }
 
 case! {
-    /// The primary's agent is silent, so nothing that it said counts, when a write is answered on its
-    /// data connection. The write's position must be kept all the same: an agent's answer of before the
-    /// write would else make replicas look fresh that lack it.
+    /// The primary's agent is silent, so its reports don't count, when a write is answered on the
+    /// data connection. The position of the write must be recorded nevertheless; otherwise an
+    /// agent's reply from before the write would make replicas that lack it look up to date.
     answer_counts_while_the_agent_is_silent {
         let mut quorum = quorum();
         let at = |millis: u64| ClockTime::from_millis(1_000 + millis);
@@ -283,8 +285,8 @@
 }
 
 case! {
-    /// An answer of a primary that was replaced arrives in its successor's term, or one of a replica. It
-    /// says nothing of where the present primary stands.
+    /// The answer of a replaced primary arrives in its successor's term, or the answer of a replica
+    /// arrives. Neither shows the position of the present primary.
     answer_of_another_than_the_primary_says_nothing {
         let mut quorum = quorum();
         let at = |millis: u64| ClockTime::from_millis(1_000 + millis);
@@ -298,7 +300,7 @@
 
 case! {
     /// A replica has just begun to follow the term and still lacks writes from before its start. A
-    /// majority counted with it could be without them.
+    /// majority that includes it could lack them.
     replica_before_the_start_of_the_term_isnt_counted {
         let mut quorum = quorum();
         quorum.report(now(), now(), &name("b"), status(1, 1, 6));
@@ -309,8 +311,8 @@
 }
 
 case! {
-    /// A status is on its way while the next primary is promoted. Releasing a write by it would be
-    /// an acknowledgement by a primary that has been replaced.
+    /// A status is in flight while the next primary is promoted. A write released by it would be
+    /// acknowledged by a replaced primary.
     suspended_term_releases_nothing {
         let mut quorum = quorum();
         quorum.report(now(), now(), &name("a"), status(1, 1, 20));
@@ -324,8 +326,8 @@
 }
 
 case! {
-    /// The answer to a commit is held up until the next primary serves. Every position of the new
-    /// term is higher, but the new primary may lack the write, so it must not be released.
+    /// The answer to a commit is delayed until the next primary serves. Every position of the new
+    /// term is higher, but the new primary may lack the write, so the write must not be released.
     answer_of_a_replaced_primary_is_abandoned {
         let mut script = formed_group(&["a", "b", "c"]);
         let mut quorum = PositionQuorum::new(&record(&script.state));
--- a/crates/control/tests/state/replacement.rs
+++ b/crates/control/tests/state/replacement.rs
@@ -1,4 +1,4 @@
-//! Replacing a primary by orders that may be late, lost or overtaken.
+//! Tests of the replacement of a primary by orders that may be late, lost or overtaken.
 
 use ragwort_control::ClockTime;
 use ragwort_control::PrimaryReplacement;
@@ -33,8 +33,9 @@
     })
 }
 
-/// Begins to replace `cases-1`, which has acknowledged up to 50, with 200 ms of patience.
-fn begun() -> PrimaryReplacement {
+/// Starts to replace `cases-1`, which has acknowledged writes up to index 50, with a catch-up time
+/// of 200 ms.
+fn started_replacement() -> PrimaryReplacement {
     let mut replacement = PrimaryReplacement::default();
     let patience = Duration::from_millis(200);
     let actions = replacement.begin(at(0), Some(&name(1)), position(50), patience);
@@ -47,9 +48,9 @@
     actions.into_iter().next()
 }
 
-/// Brings a replacement of `cases-1` by `cases-3` to the order under number 7.
-fn ordered() -> PrimaryReplacement {
-    let mut replacement = begun();
+/// Advances a replacement of `cases-1` by `cases-3` to the order with the fencing token 7.
+fn ordered_replacement() -> PrimaryReplacement {
+    let mut replacement = started_replacement();
     replacement.take_report(at(5), &name(2), replica(40));
     let chosen = replacement.take_report(at(6), &name(3), replica(50));
     assert_eq!(
@@ -63,9 +64,9 @@
 
 case! {
     /// A primary dies, and one replica has received more than the other. Promoting the other one
-    /// would lose writes that callers were told are done.
+    /// would lose acknowledged writes.
     furthest_replica_is_promoted {
-        let mut replacement = ordered();
+        let mut replacement = ordered_replacement();
         replacement.handle(at(10), ReplacementEvent::OrderAccepted);
         assert_eq!(replacement.state(), ReplacementState::Watching);
         replacement.note_primary(at(700), &name(3), true);
@@ -74,10 +75,10 @@
 }
 
 case! {
-    /// Both replicas lack the last acknowledged write, which is on its way. They are given a moment;
-    /// when it is over, the group gets a primary all the same.
-    candidate_is_waited_for_but_not_for_ever {
-        let mut replacement = begun();
+    /// Both replicas lack the last acknowledged write, which is in flight. They get a limited time
+    /// to receive it; afterwards the group must get a primary nevertheless.
+    wait_for_a_better_candidate_is_bounded {
+        let mut replacement = started_replacement();
         replacement.take_report(at(5), &name(2), replica(40));
         assert!(replacement.take_report(at(6), &name(3), replica(49)).is_empty());
         let again = replacement.tick(at(106));
@@ -95,31 +96,31 @@
 }
 
 case! {
-    /// The primary was only slow and answers again before anything was ordered. It must stay: a
-    /// promotion would cost its callers most of a second for nothing.
+    /// The primary was only slow and answers again before anything was ordered. It must stay,
+    /// because a promotion would interrupt its callers for most of a second.
     primary_that_answers_in_time_stays {
-        let mut replacement = begun();
+        let mut replacement = started_replacement();
         replacement.note_primary(at(50), &name(1), true);
         assert_eq!(replacement.state(), ReplacementState::Steady);
     }
 }
 
 case! {
-    /// The primary leaves, and goes on answering until it does. That must not end its replacement,
-    /// or the group would have no primary once it is gone.
+    /// The primary is leaving but still answers. That must not end its replacement, or the group
+    /// would have no primary after it has left.
     leaving_primary_is_replaced_though_it_answers {
-        let mut replacement = begun();
+        let mut replacement = started_replacement();
         replacement.note_primary(at(50), &name(1), false);
         assert_eq!(replacement.state(), ReplacementState::Asking);
     }
 }
 
 case! {
-    /// The answer to an order is lost, and the order is not carried out. Callers have no primary until
-    /// the next order, so everything is looked at again at once, and the next order has a number of its
-    /// own: the first may come late.
+    /// The reply to an order is lost, and the order isn't carried out. Callers have no primary
+    /// until the next order, so the instances are asked again at once. The next order has its own
+    /// fencing token, because the first may still be carried out late.
     lost_order_is_followed_by_another {
-        let mut replacement = ordered();
+        let mut replacement = ordered_replacement();
         let again = replacement.handle(at(410), ReplacementEvent::OrderUnknown);
         assert_eq!(first(again), Some(ReplacementAction::AskInstances));
         replacement.note_asked(at(410), [name(2), name(3)]);
@@ -132,10 +133,10 @@
 }
 
 case! {
-    /// The answer to an order is lost, but it was carried out: an instance leads while the others are
-    /// asked again. No further order is given.
+    /// The reply to an order is lost, but the order was carried out: an instance is found to be the
+    /// primary while the others are asked again. No further order is given.
     lost_answer_to_an_order_that_took_effect_ends_it {
-        let mut replacement = ordered();
+        let mut replacement = ordered_replacement();
         replacement.handle(at(410), ReplacementEvent::OrderUnknown);
         replacement.note_asked(at(410), [name(2), name(3)]);
         replacement.note_primary(at(412), &name(3), true);
@@ -146,10 +147,10 @@
 }
 
 case! {
-    /// Another order has overtaken this one. Repeating it under the same number can't succeed, so
-    /// the instances are asked anew.
+    /// Another order has overtaken this one. Repeating it with the same fencing token can't
+    /// succeed, so the instances are asked again.
     overtaken_order_is_not_repeated {
-        let mut replacement = ordered();
+        let mut replacement = ordered_replacement();
         assert!(replacement.handle(at(10), ReplacementEvent::OrderOvertaken).is_empty());
         let again = replacement.tick(at(120));
         assert_eq!(first(again), Some(ReplacementAction::AskInstances));
@@ -157,9 +158,9 @@
 }
 
 case! {
-    /// The service that promotes takes no call at present. The same order is given again.
-    untaken_order_is_given_again {
-        let mut replacement = ordered();
+    /// The promotion service doesn't accept the order at present. The same order is repeated.
+    unaccepted_order_is_repeated {
+        let mut replacement = ordered_replacement();
         replacement.handle(at(10), ReplacementEvent::OrderUntaken);
         let again = replacement.tick(at(111));
         assert_eq!(first(again), Some(ReplacementAction::GiveOrder(name(3), 7)));
@@ -167,9 +168,9 @@
 }
 
 case! {
-    /// An instance never answers. The others' answers are acted on after the time to ask is over.
+    /// An instance never replies. After the timeout, the other instances' reports are used.
     silent_instance_is_not_waited_for {
-        let mut replacement = begun();
+        let mut replacement = started_replacement();
         replacement.take_report(at(5), &name(3), replica(50));
         let chosen = replacement.tick(at(151));
         assert_eq!(first(chosen), Some(ReplacementAction::ProposeNumber(name(3))));
--- a/crates/control/tests/state/transfer.rs
+++ b/crates/control/tests/state/transfer.rs
@@ -1,4 +1,4 @@
-//! The catalog on its way to members, in pieces and through links of all widths.
+//! Tests of the transfer of the catalog to members, in pieces and over slow links.
 
 use crate::common::CatalogScript;
 use crate::common::announcement;
@@ -56,7 +56,7 @@
     }
 }
 
-/// Returns a catalog with so many gateways and groups.
+/// Returns a catalog with the given numbers of gateways and groups.
 fn large_catalog(gateways: u64, groups: usize) -> CatalogScript {
     let mut script = CatalogScript::with_members(5);
     for number in 6..=gateways + 5 {
@@ -116,11 +116,11 @@
 }
 
 case! {
-    /// Three hundred gateways get the catalog of 339 groups after a loss of power, each through a link that
-    /// carries 250 KB a second. With a heartbeat's answer it took longer than the heartbeat may, so that it
-    /// was sent again and again and never arrived. A heartbeat says now that there is more, and the copy
-    /// comes in pieces that need nobody else's.
-    large_catalog_travels_apart_from_heartbeats {
+    /// Three hundred gateways request the catalog of 339 groups after a power loss, each through a
+    /// link that carries 250 KB a second. As part of the reply to a heartbeat it took longer than
+    /// the heartbeat's timeout, so that it was sent repeatedly and never arrived. The reply now
+    /// only says that there is more, and the copy is transferred in independent pieces.
+    large_catalog_is_not_sent_with_a_heartbeat {
         let script = large_catalog(300, 339);
         for scope in [CatalogScope::Whole, CatalogScope::Routing] {
             assert!(script.state.short_delta(CatalogRevision(0), scope).is_none());
@@ -132,13 +132,13 @@
         assert!(fewer < pieces);
         assert_eq!(routing.contracts().count(), 339);
         assert!(routing.groups().all(|record| record.endpoints.is_empty()));
-        assert!(routing.members().count() < 150, "all gateways are named to each");
+        assert!(routing.members().count() < 150, "gateways are told of all other gateways");
     }
 }
 
 case! {
-    /// A change of one contract among hundreds still travels with the next heartbeat, as do a few others.
-    small_change_travels_with_a_heartbeat {
+    /// A change of one contract among hundreds must still be sent with the next heartbeat.
+    small_change_is_sent_with_a_heartbeat {
         let mut script = large_catalog(30, 100);
         let before = script.state.revision();
         let mut changed = document(2, 100, 76);
@@ -151,9 +151,9 @@
 }
 
 case! {
-    /// A gateway comes. The other gateways needn't hear of it at once: each would answer, and three hundred
-    /// that come at the same time would make ninety thousand messages.
-    gateways_that_come_press_nobody {
+    /// A gateway joins. The other gateways needn't be told at once: each would respond, and three
+    /// hundred gateways that join at the same time would cause ninety thousand messages.
+    gateway_admission_is_not_urgent {
         let mut script = large_catalog(30, 3);
         let before = script.state.revision();
         let mut gateway = member(1_000, 1);
@@ -165,9 +165,10 @@
 }
 
 case! {
-    /// A control VM falls silent half-way, and the next one is behind it: it lacks what the first has told
-    /// already. The transfer goes on where it stood, and isn't done before somebody has all of it.
-    transfer_goes_on_at_another_vm {
+    /// A control VM stops answering halfway, and the next one is behind it and lacks items that the
+    /// first has already sent. The transfer continues from its cursor and isn't complete until a
+    /// control VM provides the rest.
+    transfer_continues_at_another_vm {
         let mut script = large_catalog(100, 200);
         let behind = script.state.clone();
         let mut changed = document(2, 200, 76);
@@ -187,16 +188,17 @@
         assert_eq!(step, TransferStep::Behind);
         let rest = script.state.next_piece(&transfer.to_request());
         let TransferStep::Done(copy) = transfer.take(&rest) else {
-            panic!("the rest is one change");
+            panic!("the remaining piece completes the transfer");
         };
         assert_same(&copy, &script.state);
     }
 }
 
 case! {
-    /// While a first copy is on its way, contracts, groups and members change and go, and pieces come from
-    /// three control VMs that are at different places of the log. What arrives in the end is the catalog of
-    /// one of them, whole: a copy that lacked one change would serve under a contract that is replaced.
+    /// During a first transfer, contracts, groups and members change and are removed, and the
+    /// pieces come from control VMs at different positions of the log. The result must equal the
+    /// complete catalog of one of them: a copy that lacked a change would serve under a replaced
+    /// contract.
     pieces_of_changing_catalogs_fit_together {
         for seed in 0..40 {
             let mut random = StdRng::seed_from_u64(seed);
@@ -220,12 +222,12 @@
                     break copy;
                 }
                 if version > 400 {
-                    // The changes end, as they do; otherwise it need not.
+                    // The changes must stop, because otherwise the transfer need not end.
                     version = u64::MAX;
                 }
             };
             let state = history.iter().find(|state| state.revision() == copy.revision());
-            assert_same(&copy, state.expect("no VM was ever there"));
+            assert_same(&copy, state.expect("the copy has the revision of a control VM"));
         }
     }
 }
@@ -254,8 +256,8 @@
 }
 
 case! {
-    /// A gateway has a copy and misses an hour in which more departed than is remembered. What it holds may
-    /// name some of them, so its transfer begins anew.
+    /// A gateway misses more departures than are remembered. Its copy may contain some of the
+    /// departed members, so its transfer restarts from the beginning.
     forgotten_departures_begin_the_transfer_anew {
         let mut script = large_catalog(10, 20);
         let (held, _) = transfer(&script.state, &CatalogCopy::new(), CatalogScope::Whole);
@@ -269,22 +271,27 @@
     }
 }
 
-/// A member's link, in simulated time.
-struct NarrowLink {
-    /// Bytes a second.
-    width: f64,
-    /// Until when nothing passes.
-    silent_until: f64,
+/// A member's link in simulated time, in seconds.
+struct SimulatedLink {
+    /// Throughput in bytes per second.
+    bytes_per_second: f64,
+    /// The time until which the link transmits nothing.
+    blocked_until: f64,
 }
 
-/// Returns when the last of so many members has its copy, in seconds, and the bytes that it got. Each
-/// link stops half-way for `pause` seconds.
-fn simulate(script: &CatalogScript, members: usize, pause: f64, bytes_of: f64) -> (f64, f64) {
+/// Returns the time in seconds at which the last member has its copy, and the largest number of
+/// bytes that a member received. Each link stops halfway for `pause` seconds.
+fn simulate(
+    script: &CatalogScript,
+    members: usize,
+    pause: f64,
+    compression_ratio: f64,
+) -> (f64, f64) {
     let (mut last, mut most) = (0.0_f64, 0.0_f64);
     for number in 0..members {
-        let link = NarrowLink {
-            width: 250_000.0,
-            silent_until: 0.2 + pause,
+        let link = SimulatedLink {
+            bytes_per_second: 250_000.0,
+            blocked_until: 0.2 + pause,
         };
         let mut transfer = CatalogTransfer::begin(
             &CatalogCopy::new(),
@@ -294,11 +301,11 @@
         let (mut now, mut got) = (0.002 * (number % 5) as f64, 0.0);
         loop {
             let piece = script.state.next_piece(&transfer.to_request());
-            let bytes = serde_json::to_string(&piece).unwrap().len() as f64 * bytes_of;
-            now += 0.003 + bytes / link.width;
-            if pause > 0.0 && (0.2..link.silent_until).contains(&now) {
-                // What was on its way is lost, and asked for again.
-                now = link.silent_until;
+            let bytes = serde_json::to_string(&piece).unwrap().len() as f64 * compression_ratio;
+            now += 0.003 + bytes / link.bytes_per_second;
+            if pause > 0.0 && (0.2..link.blocked_until).contains(&now) {
+                // The piece in flight is lost and requested again.
+                now = link.blocked_until;
                 continue;
             }
             got += bytes;
@@ -313,10 +320,10 @@
 }
 
 case! {
-    /// Through links of 250 KB a second, the copies of ten members for 339 groups arrive within two
-    /// seconds with a hundred kilobytes each, if compression leaves an eighth of them. (The packed form and
-    /// its ratio have their own test.) A link that stops for five seconds costs those five seconds and the
-    /// piece that was on its way, not what had arrived before.
+    /// Over links of 250 KB a second, the copies of ten members for 339 groups arrive within two
+    /// seconds with a hundred kilobytes each, if compression leaves an eighth. (The compressed form
+    /// and its ratio have their own test.) A link that stops for five seconds costs those five
+    /// seconds and the piece in flight, not the earlier pieces.
     copies_pass_narrow_links_in_time {
         let script = large_catalog(300, 339);
         let (last, most) = simulate(&script, 10, 0.0, 0.125);
@@ -328,8 +335,9 @@
 }
 
 case! {
-    /// A key names one account. A caller who shows it is found by its digest; a table without accounts finds
-    /// nobody, and a key that moves to another account in one document is that account's from there on.
+    /// A key belongs to one account and is found by its digest. A table without accounts finds no
+    /// key, and a key that moves to another account in a document belongs to that account from then
+    /// on.
     keys_are_found_by_their_digests {
         let mut script = CatalogScript::with_members(1);
         let mut first = document(1, 1, 2);
@@ -354,8 +362,9 @@
 }
 
 case! {
-    /// Two accounts with one key, an account twice, and a key that is empty are faults of a document: the
-    /// one key would stand for two limits, and a caller without a key would show the empty one.
+    /// Two accounts with the same key, two accounts with the same name, and an empty key are faults
+    /// of a document: a shared key would have two limits, and a caller without a key would match
+    /// the empty one.
     shared_and_empty_keys_are_faults {
         let mut shared = document(1, 1, 2);
         shared.accounts[1].keys = shared.accounts[0].keys.clone();
@@ -373,9 +382,9 @@
 }
 
 case! {
-    /// Neither a snapshot's accounts, nor a delta, nor what a value shows of itself in a log has a key: who
-    /// reads them could call for the account.
-    keys_are_shown_to_nobody {
+    /// Neither a snapshot, nor a delta, nor the debug output of a document or delta may contain a
+    /// key, because its reader could use the account.
+    keys_are_not_disclosed {
         let mut script = CatalogScript::with_members(1);
         let mut whole = document(1, 1, 3);
         whole.source = "without keys".into();
