--- a/crates/control/src/contracts.rs
+++ b/crates/control/src/contracts.rs
@@ -55,8 +55,8 @@
         // Faults depend on the content alone, so a resend gets the same answer without a record.
         let faults = change.contract.find_faults();
         if !faults.is_empty() {
-            let words = faults.iter().map(ToString::to_string).collect();
-            return CatalogOutcome::ContractFaulty(words);
+            let messages = faults.iter().map(ToString::to_string).collect();
+            return CatalogOutcome::ContractFaulty(messages);
         }
         let content = content_text(change);
         let answer = match self.answers.find(change.change_id, &content) {
--- a/crates/control/src/documents.rs
+++ b/crates/control/src/documents.rs
@@ -40,8 +40,8 @@
     ) -> CatalogOutcome {
         let faults = document.find_faults();
         if !faults.is_empty() {
-            let words = faults.iter().map(ToString::to_string).collect();
-            return CatalogOutcome::DocumentInvalid(words);
+            let messages = faults.iter().map(ToString::to_string).collect();
+            return CatalogOutcome::DocumentInvalid(messages);
         }
         if let Some(held) = &self.document
             && held.version >= document.version
--- a/crates/control/src/lease.rs
+++ b/crates/control/src/lease.rs
@@ -180,9 +180,11 @@
         self.note_heartbeat(now, heartbeat, ProcessRole::Current);
         let known = catalog.member(&id.vm).is_some_and(|known| known.id == *id);
         // A new leader knows only the length in the catalog, so nothing longer is granted.
-        let noted = catalog.member(&id.vm).map(|noted| self.lease_length(noted));
+        let recorded = catalog
+            .member(&id.vm)
+            .map(|recorded| self.lease_length(recorded));
         let asked = self.lease_length(&heartbeat.member);
-        let lease = noted.map_or(asked, |noted| noted.min(asked));
+        let lease = recorded.map_or(asked, |recorded| recorded.min(asked));
         let Some(record) = self.records.get_mut(&id.vm) else {
             return LeaseDecision::NotYet;
         };
@@ -261,14 +263,14 @@
     /// Returns whether a member's lease has certainly ended, by the member's clock too.
     fn has_ended(&self, now: ClockTime, member: &MemberRecord) -> bool {
         let lease = self.lease_length(member);
-        let whole = lease + lease / DRIFT_DIVISOR;
-        if now < self.elected_at + whole {
+        let lease_with_margin = lease + lease / DRIFT_DIVISOR;
+        if now < self.elected_at + lease_with_margin {
             return false;
         }
         let record = self.records.get(&member.id.vm);
         let own = record.filter(|record| record.member.id == member.id);
         match own.and_then(|record| record.granted_at) {
-            Some(granted_at) => now >= granted_at + whole,
+            Some(granted_at) => now >= granted_at + lease_with_margin,
             None => true,
         }
     }
--- a/crates/control/src/proximity.rs
+++ b/crates/control/src/proximity.rs
@@ -30,11 +30,12 @@
 pub(crate) fn proximity_in(record: &GroupRecord, domain: &DomainName) -> EndpointProximity {
     let near = record.endpoints.iter();
     let near = near.filter(|endpoint| endpoint.domain == *domain && !endpoint.status.leaving);
-    let judged = near.map(
-        |endpoint| match record.primary == Some(endpoint.instance.clone()) {
-            true => EndpointProximity::Primary,
-            false => EndpointProximity::Replica,
-        },
-    );
-    judged.max().unwrap_or(EndpointProximity::Remote)
+    let proximities =
+        near.map(
+            |endpoint| match record.primary == Some(endpoint.instance.clone()) {
+                true => EndpointProximity::Primary,
+                false => EndpointProximity::Replica,
+            },
+        );
+    proximities.max().unwrap_or(EndpointProximity::Remote)
 }
--- a/crates/control/src/transfer.rs
+++ b/crates/control/src/transfer.rs
@@ -115,8 +115,10 @@
         Some(delta)
     }
 
-    /// Returns whether a member lacks an item that must be sent at once: any item but the arrival
-    /// or departure of VMs that only relay statements, which can wait for its next heartbeat.
+    /// Returns whether a member lacks an item that must be sent at once.
+    ///
+    /// In the routing scope, departures and members that serve no groups can wait for the member's
+    /// next heartbeat.
     pub fn is_pressing(&self, from: CatalogRevision, scope: CatalogScope) -> bool {
         let start = CatalogCursor {
             revision: from,
