--- a/crates/control/tests/state/main.rs
+++ b/crates/control/tests/state/main.rs
@@ -1,4 +1,4 @@
-//! Failure tests and randomised runs of the catalog and of the machines around a group.
+//! Failure tests and randomised tests of the catalog and of the state machines of a group.
 
 #[macro_use]
 mod common;
@@ -7,13 +7,13 @@
 mod charts;
 mod detector;
 mod documents;
-mod headless;
 mod instances;
 mod journal;
 mod leases;
 mod membership;
 mod native_roles;
 mod positions;
+mod primary_absence;
 mod promotion;
 mod proximity;
 mod quorum;
