--- a/crates/daemon/src/group/confirming.rs
+++ b/crates/daemon/src/group/confirming.rs
@@ -1,4 +1,10 @@
-//! Holds answers back until they are confirmed: writes by a majority, fresh reads by a round.
+//! Withholds answers until they are confirmed.
+//!
+//! A write is acknowledged when a majority of the group's instances holds it in the present term. A
+//! fresh read, whose answer must reflect every acknowledged write, is answered when a majority
+//! reports, after the read was dispatched, that it knows no later term (as ReadIndex does in Raft).
+//! Without either check, a replaced primary could acknowledge writes that its successor lacks, or
+//! return data that its successor has already changed.
 
 use super::GroupTask;
 use super::notice::GroupNotice;
@@ -22,10 +28,10 @@
 use std::time::Duration;
 
 impl GroupTask {
-    /// Lets a write wait until a majority of the group's instances holds it in the present term.
+    /// Makes a write wait until a majority of the group's instances holds it in the present term.
     ///
-    /// A primary that was replaced, or dies right after its answer, would otherwise have
-    /// acknowledged a write that its successor lacks: the caller's work would be lost.
+    /// If a primary that is replaced or fails right after its answer had its writes acknowledged at
+    /// once, the caller would lose work that the successor lacks.
     pub(super) fn await_majority(&mut self, ticket: RequestTicket, position: Option<LogPosition>) {
         let Some(position) = position.filter(|one| one.term == self.quorum.term()) else {
             self.settle(ticket, RequestVerdict::MayHaveRun(DoubtCause::NotConfirmed));
@@ -38,62 +44,65 @@
             journal.note_session(&request.customer, &request.session, position);
         }
         let (waiting, released) = self.quorum.await_majority(position);
-        self.writes.insert(waiting, ticket);
+        self.unconfirmed_writes.insert(waiting, ticket);
         if let Some(active) = self.requests.get_mut(&ticket) {
             active.stage = RequestStage::AwaitingMajority(waiting);
         }
-        self.take_progress(released);
+        self.apply_quorum_progress(released);
     }
 
-    /// Takes an agent's report into the quorum and the scheduler.
-    pub(super) fn take_status(
+    /// Passes an agent's status to the quorum and the scheduler.
+    pub(super) fn handle_status(
         &mut self,
         instance: &InstanceName,
-        asked: ClockTime,
+        sent_at: ClockTime,
         status: InstanceStatus,
     ) {
-        let came = self.context.clock.now();
-        let progress = self.quorum.report(asked, came, instance, status);
-        self.take_progress(progress);
+        let received_at = self.context.clock.now();
+        let progress = self.quorum.report(sent_at, received_at, instance, status);
+        self.apply_quorum_progress(progress);
         self.report_position(instance);
-        self.set_lost_floor(instance, asked);
+        self.set_floor_after_journal_loss(instance, sent_at);
     }
 
-    /// Takes what the primary's answer to a statement shows of where it stands.
+    /// Records the primary's position as reported with a statement's answer.
     ///
-    /// This leaseholder can't know all that writes there: a write that it gave up on may still run, and
-    /// so may its predecessor's. If the primary were taken to stand still meanwhile, replicas that lack
-    /// such a write would pass for fresh, and a read that allows 50 ms would miss what was written long
-    /// before. So only what the primary says counts, and under load it says so with each answer.
-    pub(super) fn note_primary_answer(
+    /// This leaseholder doesn't know every write at the primary: a write that it gave up on, or one
+    /// of its predecessor, may still run. If the primary's position were assumed constant between
+    /// reports, replicas that lack such a write would count as up to date, and a read with a
+    /// maximum age of 50 ms could miss an older write. Only reported positions count, and under
+    /// load each answer brings one.
+    pub(super) fn record_primary_position(
         &mut self,
         dispatched: ClockTime,
         instance: &InstanceName,
         position: LogPosition,
     ) {
-        let came = self.context.clock.now();
+        let received_at = self.context.clock.now();
         let progress = self
             .quorum
-            .note_answer(dispatched, came, instance, position);
-        self.take_progress(progress);
+            .note_answer(dispatched, received_at, instance, position);
+        self.apply_quorum_progress(progress);
         self.report_position(instance);
     }
 
-    /// Sets the position that sessions of a lost journal must read from: the primary's, asked for
-    /// after this leaseholder took over. Whatever they wrote before lies below it.
-    fn set_lost_floor(&mut self, instance: &InstanceName, asked: ClockTime) {
+    /// Sets the minimum read position of all sessions after the journal was lost.
+    ///
+    /// It is the primary's position, requested after this leaseholder recovered its journal: every
+    /// earlier write of a session lies at or below it.
+    fn set_floor_after_journal_loss(&mut self, instance: &InstanceName, sent_at: ClockTime) {
         let primary = self.record.primary.as_ref() == Some(instance);
         let position = self.quorum.counted_position(instance);
         let (Some(journal), Some(position)) = (&mut self.journal, position) else {
             return;
         };
         let lost = journal.sessions().floor().is_none();
-        if lost && primary && asked > self.journal_since && self.promotion.is_settled() {
+        if lost && primary && sent_at > self.journal_recovered_at && self.promotion.has_primary() {
             journal.raise_session_floor(position);
         }
     }
 
-    /// Tells the scheduler what an instance holds and how old it can be.
+    /// Reports an instance's position and an upper bound of its data's age to the scheduler.
     pub(super) fn report_position(&mut self, instance: &InstanceName) {
         let now = self.context.clock.now();
         let Some(position) = self.quorum.counted_position(instance) else {
@@ -108,19 +117,22 @@
         }
     }
 
-    fn take_progress(&mut self, progress: QuorumProgress) {
+    /// Journals the writes that the quorum has released, settles those that it has abandoned, and
+    /// reacts to a later term.
+    fn apply_quorum_progress(&mut self, progress: QuorumProgress) {
         self.abandon_writes(&progress.abandoned);
         for waiting in progress.released {
             self.release_write(waiting);
         }
         if let Some(later) = progress.later_term {
-            self.note_later_term(later);
+            self.handle_later_term(later);
         }
     }
 
-    /// Records and then acknowledges a write that a majority holds.
+    /// Journals the session position and verdict of a write that a majority holds; the write is
+    /// acknowledged when the standbys hold them too.
     fn release_write(&mut self, waiting: WriteTicket) {
-        let Some(ticket) = self.writes.remove(&waiting) else {
+        let Some(ticket) = self.unconfirmed_writes.remove(&waiting) else {
             return;
         };
         let (Some(active), Some(journal)) = (self.requests.get_mut(&ticket), &mut self.journal)
@@ -139,7 +151,7 @@
         self.answer_recorded();
     }
 
-    /// Answers the writes whose session positions and verdicts all standbys hold.
+    /// Acknowledges the writes whose session positions and verdicts every standby holds.
     pub(super) fn answer_recorded(&mut self) {
         let recorded = self.requests.iter();
         let recorded = recorded.filter(|(_, active)| match active.stage {
@@ -148,20 +160,21 @@
         });
         let recorded: Vec<RequestTicket> = recorded.map(|(ticket, _)| *ticket).collect();
         for ticket in recorded {
-            self.answer_now(ticket);
-            self.note_write_landed();
+            self.send_answer(ticket);
+            self.log_first_write();
         }
     }
 
-    /// Begins a round of status requests if reads wait for one.
+    /// Starts a read round if reads wait for one: asks every instance for its status, which shows
+    /// whether it knows a later term.
     pub(super) fn begin_read_round(&mut self) {
-        if self.round_running.is_some() {
+        if self.running_round.is_some() {
             return;
         }
         let Some(round) = self.quorum.begin_read_round() else {
             return;
         };
-        self.round_running = Some((round, self.context.clock.now()));
+        self.running_round = Some((round, self.context.clock.now()));
         for instance in self.record.instances.clone() {
             let Some(entry) = self.pool.endpoint(&instance) else {
                 continue;
@@ -169,9 +182,9 @@
             let address = entry.announcement.agent_address;
             let links = self.context.links.clone();
             let notices = self.notices.clone();
-            let asked = self.context.clock.now();
+            let sent_at = self.context.clock.now();
             let limit = Duration::from_millis(self.context.settings.timing.probe_timeout_ms);
-            let expected = self.identify(&instance);
+            let expected = self.expected_identity(&instance);
             self.children.spawn(async move {
                 let call = |client: Arc<WsClient>| async move { client.status().await };
                 let status = links.call_instance(address, &expected, limit, call);
@@ -179,7 +192,7 @@
                 let report = RoundReport {
                     round,
                     instance,
-                    asked,
+                    sent_at,
                     status,
                 };
                 let _ = notices.send(GroupNotice::ReadRound(report)).await;
@@ -187,12 +200,12 @@
         }
     }
 
-    /// Takes an instance's answer in a round of reads.
-    pub(super) fn take_round_report(&mut self, report: RoundReport) {
+    /// Counts an instance's answer in a read round.
+    pub(super) fn handle_round_report(&mut self, report: RoundReport) {
         let Some(status) = report.status else {
             return;
         };
-        self.take_status(&report.instance, report.asked, status);
+        self.handle_status(&report.instance, report.sent_at, status);
         let progress = self
             .quorum
             .confirm(report.round, &report.instance, status.fenced_term);
@@ -200,19 +213,19 @@
             ReadProgress::Confirmed(round) => {
                 self.confirmed_round = self.confirmed_round.max(round);
                 if self
-                    .round_running
+                    .running_round
                     .is_some_and(|(running, _)| running <= round)
                 {
-                    self.round_running = None;
+                    self.running_round = None;
                 }
                 self.release_reads();
             }
             ReadProgress::Pending => {}
-            ReadProgress::TermOver(later) => self.note_later_term(later),
+            ReadProgress::TermOver(later) => self.handle_later_term(later),
         }
     }
 
-    /// Answers the reads whose round is confirmed.
+    /// Answers the reads whose read round is confirmed.
     pub(super) fn release_reads(&mut self) {
         let confirmed: RoundId = self.confirmed_round;
         let ready = self.requests.iter().filter(|(_, active)| {
@@ -220,12 +233,12 @@
         });
         let ready: Vec<RequestTicket> = ready.map(|(ticket, _)| *ticket).collect();
         for ticket in ready {
-            self.answer_now(ticket);
+            self.send_answer(ticket);
         }
     }
 
-    /// Sends the answer that a request holds, if the lease still runs.
-    pub(super) fn answer_now(&mut self, ticket: RequestTicket) {
+    /// Sends a request's withheld answer if the lease is still valid, and reports doubt otherwise.
+    pub(super) fn send_answer(&mut self, ticket: RequestTicket) {
         let deposed = self.journal_is_deposed();
         let leads = self.may_lead(self.context.clock.now());
         let Some(active) = self.requests.get_mut(&ticket) else {
@@ -234,8 +247,8 @@
         let Some((verdict, served)) = active.answer.take() else {
             return;
         };
-        // A leaseholder that was frozen wakes up with answers of a time when it led. Meanwhile a
-        // successor may have promoted another instance that lacks what the answer says.
+        // A leaseholder that was frozen may hold answers from before its lease ended. A successor
+        // may have promoted another instance since, which lacks the writes that these answers show.
         if !leads || deposed {
             self.settle(ticket, RequestVerdict::MayHaveRun(DoubtCause::LeaseLost));
             return;
--- a/crates/daemon/src/group/describing.rs
+++ b/crates/daemon/src/group/describing.rs
@@ -1,15 +1,11 @@
 //! Describes statements for drivers that prepare them.
 //!
-//! # The load it answers
+//! Some drivers ask for the parameters and columns of every statement before they run it, so that a
+//! burst of statements brings a burst of descriptions. If a description took any idle connection,
+//! it could take the last one from a statement that the scheduler has just dispatched there.
 //!
-//! Some drivers ask for every statement's parameters and columns before they run it, so that a
-//! burst of statements comes with a burst of descriptions.
-//!
-//! # Without it
-//!
-//! A description that took any idle connection would take the last one from a statement that the
-//! scheduler has just dispatched there. So a description is scheduled like a short read: it waits
-//! its turn, pays from its customer's share, and holds its slot for one round trip.
+//! A description is therefore scheduled like a short read: it waits in the queue, is charged to its
+//! customer's share, and occupies its slot for one round trip.
 
 use super::GroupTask;
 use super::intake::StatementOrigin;
@@ -42,19 +38,19 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// How long an endpoint may take to describe a statement. It plans and doesn't run it, so this is
-/// far beyond a healthy endpoint's time, and bounds how long a slot is held.
-const DESCRIBE_LIMIT: Duration = Duration::from_millis(500);
+/// The time limit of an endpoint's answer to a description. A description is planned and not run,
+/// so a healthy endpoint needs far less; the limit bounds how long a slot is occupied.
+const DESCRIBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How old a replica's schema may be. A description that a change of the schema has overtaken is
-/// found out when the answer's columns differ from it.
-const SCHEMA_AGE: Duration = Duration::from_secs(10);
+/// The largest data age of a replica that describes a statement. A description that a later change
+/// of the schema makes wrong is detected when the answer's columns differ from it.
+const MAX_SCHEMA_AGE: Duration = Duration::from_secs(10);
 
-/// The kind by which the scheduler learns how long descriptions take. A contract's kinds have no
-/// space in their names, so that none of them is learned together with this one.
+/// The request kind under which the scheduler estimates the duration of descriptions. The space
+/// keeps it apart from the kinds of contracts, whose names contain none.
 const DESCRIBE_KIND: &str = "describe statement";
 
-/// A statement that is to be described.
+/// A description in progress.
 #[derive(Debug)]
 pub(super) struct ActiveShape {
     request: Box<ShapeRequest>,
@@ -63,8 +59,8 @@
 }
 
 impl GroupTask {
-    /// Takes a statement in that is to be described, or answers at once.
-    pub(super) fn take_describe(
+    /// Queues a description, or refuses it at once.
+    pub(super) fn handle_describe(
         &mut self,
         request: Box<ShapeRequest>,
         reply: oneshot::Sender<ShapeReply>,
@@ -84,8 +80,8 @@
                 return;
             }
         };
-        let spent = Duration::from_millis(request.spent_ms);
-        let left = Duration::from_millis(terms.deadline_ms).saturating_sub(spent);
+        let elapsed = Duration::from_millis(request.spent_ms);
+        let left = Duration::from_millis(terms.deadline_ms).saturating_sub(elapsed);
         let shape = ActiveShape {
             request,
             reply,
@@ -93,7 +89,7 @@
         };
         self.last_ticket += 1;
         let ticket = RequestTicket(self.last_ticket);
-        let profile = self.profile_shape(ticket, &shape);
+        let profile = self.shape_profile(ticket, &shape);
         self.tickets.insert(shape.request.id, ticket);
         self.shapes.insert(ticket, shape);
         if let ArrivalDecision::Refused(refusal) = self.scheduler.arrive(now, profile) {
@@ -101,7 +97,8 @@
         }
     }
 
-    fn profile_shape(&self, ticket: RequestTicket, shape: &ActiveShape) -> RequestProfile {
+    /// Returns the scheduling profile of a description.
+    fn shape_profile(&self, ticket: RequestTicket, shape: &ActiveShape) -> RequestProfile {
         let request = &shape.request;
         let step = self.scheduler_step(step_of(request));
         let required = self.required_position(&request.customer, &request.session);
@@ -117,16 +114,16 @@
             urgency: UrgencyClass::Ordinary,
             length: LengthClass::Short,
             needs_primary: step != RequestStep::Single || required.is_none(),
-            // A session may describe a statement on what it has just created.
+            // A session may describe a statement on a table that it has just created.
             min_position: required.unwrap_or_default(),
-            max_age: SCHEMA_AGE,
+            max_age: MAX_SCHEMA_AGE,
             deadline: shape.deadline,
             target: None,
             step,
         }
     }
 
-    /// Says whether a ticket is that of a description.
+    /// Returns whether a ticket belongs to a description.
     pub(super) fn is_shape(&self, ticket: RequestTicket) -> bool {
         self.shapes.contains_key(&ticket)
     }
@@ -146,7 +143,7 @@
             id: shape.request.id,
             text: text.clone(),
             parameters: StatementScan::new(text).parameters,
-            limit: shape.deadline.since(now).min(DESCRIBE_LIMIT),
+            limit: shape.deadline.since(now).min(DESCRIBE_TIMEOUT),
         };
         let sent = id.and_then(|id| self.pool.connection(id)).filter(|held| {
             let order = ConnectionOrder::Describe(describe);
@@ -154,28 +151,33 @@
         });
         match sent {
             Some(connection) => connection.running = Some(order.ticket),
-            None => self.give_shape_back(order.ticket, FinishOutcome::NotRun),
+            None => self.return_shape(order.ticket, FinishOutcome::NotRun),
         }
     }
 
-    /// Frees the connection of a description that has ended.
-    pub(super) fn free_described(&mut self, id: ConnectionId, outcome: &DescribeOutcome) {
+    /// Releases the connection of a description that has ended; it remains usable only after an
+    /// answer.
+    pub(super) fn release_described_connection(
+        &mut self,
+        id: ConnectionId,
+        outcome: &DescribeOutcome,
+    ) {
         let Some(connection) = self.pool.connection(id) else {
             return;
         };
         connection.running = None;
-        connection.spent |= !matches!(
+        connection.unusable |= !matches!(
             outcome,
             DescribeOutcome::Shape(_) | DescribeOutcome::Failed(_)
         );
         if *outcome == DescribeOutcome::Lost {
             let instance = connection.instance.clone();
-            self.doubt_connections(&instance);
+            self.ping_idle_connections(&instance);
         }
     }
 
-    /// Takes the end of a description.
-    pub(super) fn take_described(&mut self, statement: StatementId, outcome: DescribeOutcome) {
+    /// Handles the outcome of a description.
+    pub(super) fn handle_described(&mut self, statement: StatementId, outcome: DescribeOutcome) {
         let Some(ticket) = self.tickets.get(&statement).copied() else {
             return;
         };
@@ -183,12 +185,12 @@
             DescribeOutcome::Shape(shape) => ShapeOutcome::Known(shape),
             DescribeOutcome::Failed(error) => ShapeOutcome::Failed(error),
             DescribeOutcome::Refused(_) => {
-                return self.give_shape_back(ticket, FinishOutcome::NotRun);
+                return self.return_shape(ticket, FinishOutcome::NotRun);
             }
             DescribeOutcome::NotSent => {
-                return self.give_shape_back(ticket, FinishOutcome::NotSent);
+                return self.return_shape(ticket, FinishOutcome::NotSent);
             }
-            DescribeOutcome::Lost => return self.give_shape_back(ticket, FinishOutcome::Lost),
+            DescribeOutcome::Lost => return self.return_shape(ticket, FinishOutcome::Lost),
         };
         let now = self.context.clock.now();
         self.scheduler
@@ -202,17 +204,19 @@
         self.settle_shape(ticket, outcome);
     }
 
-    /// Gives a description that got no answer back to the scheduler.
+    /// Reports a description without an answer to the scheduler, which queues it again or refuses
+    /// it.
     ///
-    /// Its statement has not run, so the description may be asked for again.
-    pub(super) fn give_shape_back(&mut self, ticket: RequestTicket, outcome: FinishOutcome) {
+    /// Repeating it is safe, since its statement has not run. A description within a transaction is
+    /// refused instead, because the transaction is lost with its connection.
+    pub(super) fn return_shape(&mut self, ticket: RequestTicket, outcome: FinishOutcome) {
         let now = self.context.clock.now();
         let decision = self.scheduler.finished(now, ticket, outcome);
         let Some(shape) = self.shapes.get(&ticket) else {
             return;
         };
         if let Some(transaction) = shape.request.transaction {
-            // Its connection is lost, and with it all that the transaction has done.
+            // The connection is lost, and the transaction's uncommitted work with it.
             self.end_transaction(transaction);
             let lost = ShapeOutcome::refused(RefusalCause::TransactionLost, 0);
             return self.settle_shape(ticket, lost);
@@ -222,13 +226,13 @@
             FinishDecision::Refused(refusal) => refusal,
             FinishDecision::Settled | FinishDecision::Unknown => Refusal {
                 cause: RefusalCause::EndpointRefused,
-                come_back_after_ms: DESCRIBE_LIMIT.as_millis() as u64,
+                come_back_after_ms: DESCRIBE_TIMEOUT.as_millis() as u64,
             },
         };
         self.settle_shape(ticket, ShapeOutcome::Refused(refusal));
     }
 
-    /// Gives a description its final outcome.
+    /// Sends a description's final outcome to its caller and forgets it.
     pub(super) fn settle_shape(&mut self, ticket: RequestTicket, outcome: ShapeOutcome) {
         let Some(shape) = self.shapes.remove(&ticket) else {
             return;
@@ -237,7 +241,7 @@
         let _ = shape.reply.send(reply_to(&shape.request, outcome));
     }
 
-    /// Refuses all descriptions that are left when the group's task ends.
+    /// Refuses all remaining descriptions when the group's task ends.
     pub(super) fn refuse_shapes(&mut self) {
         for ticket in self.shapes.keys().copied().collect::<Vec<_>>() {
             let outcome = ShapeOutcome::refused(RefusalCause::NoLeaseholder, 0);
--- a/crates/daemon/src/group/dispatch.rs
+++ b/crates/daemon/src/group/dispatch.rs
@@ -1,4 +1,7 @@
-//! Brings requests to endpoints, and gives them their final verdicts.
+//! Dispatches requests to endpoints as the scheduler decides, and gives them their final verdicts.
+//!
+//! A request with a key starts only when every standby has journaled the key. Otherwise the
+//! successor of a failed leaseholder would not know the key and would run a resend a second time.
 
 use super::GroupTask;
 use super::outcomes::pinned_transaction;
@@ -25,8 +28,8 @@
 use tokio::time::Instant;
 
 impl GroupTask {
-    /// Does what the scheduler decides.
-    pub(super) fn follow_scheduler(&mut self) {
+    /// Polls the scheduler and carries out its decisions.
+    pub(super) fn run_scheduler(&mut self) {
         let now = self.context.clock.now();
         let allowance = self.context.descriptors.allowance();
         self.scheduler.set_allowance(allowance);
@@ -35,7 +38,7 @@
                 SchedulerDecision::Dispatch(order) if self.is_shape(order.ticket) => {
                     self.start_shape(&order);
                 }
-                SchedulerDecision::Dispatch(order) => self.take_dispatch(order),
+                SchedulerDecision::Dispatch(order) => self.handle_dispatch(order),
                 SchedulerDecision::Refuse(order) if self.is_shape(order.ticket) => {
                     self.settle_shape(order.ticket, ShapeOutcome::Refused(order.refusal));
                 }
@@ -51,15 +54,16 @@
         }
     }
 
-    fn take_dispatch(&mut self, order: DispatchOrder) {
+    /// Starts a dispatched request, or lets it wait until its key is journaled.
+    fn handle_dispatch(&mut self, order: DispatchOrder) {
         let Some(active) = self.requests.get(&order.ticket) else {
             return;
         };
         let journaled = active
             .key_entry
             .is_none_or(|entry| self.is_journaled(entry));
-        // A key that a standby lacks would be unknown to the next leaseholder, and a resend would
-        // run a second time: the caller's work would be done twice.
+        // If a standby lacked the key, the next leaseholder would not know it and would run a
+        // resend as a new request: the caller's work would be done twice.
         if journaled {
             self.start(order.ticket, &order.instance);
         } else if let Some(active) = self.requests.get_mut(&order.ticket) {
@@ -67,7 +71,7 @@
         }
     }
 
-    /// Starts the dispatched requests whose keys all standbys hold by now.
+    /// Starts the dispatched requests whose keys every standby holds by now.
     pub(super) fn start_journaled(&mut self) {
         let waiting = self.requests.iter().filter_map(|(ticket, active)| {
             let RequestStage::Journaling(instance) = &active.stage else {
@@ -81,16 +85,18 @@
         }
     }
 
+    /// Sends a request to its connection; the scheduler gets it back if the lease or the connection
+    /// is gone.
     fn start(&mut self, ticket: RequestTicket, instance: &InstanceName) {
         let now = self.context.clock.now();
         let leads = self.may_lead(now);
         let Some(active) = self.requests.get_mut(&ticket) else {
             return;
         };
-        // The process may have been stopped since the decision: its lease can have ended, and a
-        // successor can have taken the group over.
+        // The process may have been frozen since the scheduler's decision, so that the lease has
+        // ended and a successor leads the group.
         if !leads {
-            self.give_back(ticket, FinishOutcome::NotRun, RefusalCause::NoLease);
+            self.return_request(ticket, FinishOutcome::NotRun, RefusalCause::NoLease);
             return;
         }
         let id = match active.request.step.transaction() {
@@ -100,7 +106,7 @@
             _ => self.pool.find_idle(instance),
         };
         let Some((id, connection)) = id.and_then(|id| Some((id, self.pool.connection(id)?))) else {
-            self.give_back(ticket, FinishOutcome::NotRun, RefusalCause::EndpointRefused);
+            self.return_request(ticket, FinishOutcome::NotRun, RefusalCause::EndpointRefused);
             return;
         };
         if let (Some(key), Some(journal)) = (active.request.marks.key, &self.journal)
@@ -115,7 +121,7 @@
             until: Instant::now() + active.deadline.since(now),
         };
         if !connection.send(ConnectionOrder::Run(order)) {
-            self.give_back(ticket, FinishOutcome::NotRun, RefusalCause::EndpointRefused);
+            self.return_request(ticket, FinishOutcome::NotRun, RefusalCause::EndpointRefused);
             return;
         }
         connection.running = Some(ticket);
@@ -128,8 +134,9 @@
         self.context.metrics.observe_queue_wait(waited);
     }
 
-    /// Gives a dispatched request that was not sent back to the scheduler.
-    pub(super) fn give_back(
+    /// Tells the scheduler that a dispatched request did not run; the scheduler queues it again or
+    /// refuses it.
+    pub(super) fn return_request(
         &mut self,
         ticket: RequestTicket,
         outcome: FinishOutcome,
@@ -140,8 +147,8 @@
         if let Some(transaction) = self.step_of(ticket).and_then(pinned_transaction)
             && cause == RefusalCause::EndpointRefused
         {
-            // Its connection is gone, and with it all that the transaction has done. A caller that
-            // were told to come back with this one statement would lose the others.
+            // The connection is gone, and the transaction's uncommitted work with it. If the caller
+            // were asked to retry this one statement, the earlier ones would be lost.
             self.end_transaction(transaction);
             let lost = RequestVerdict::refused(RefusalCause::TransactionLost, 0);
             return self.settle(ticket, lost);
@@ -168,6 +175,7 @@
         self.settle_served(ticket, verdict, None);
     }
 
+    /// Gives a request its final verdict and names the instance that answered.
     pub(super) fn settle_served(
         &mut self,
         ticket: RequestTicket,
@@ -180,9 +188,9 @@
         self.tickets.remove(&active.request.id);
         if let RequestStage::AwaitingMajority(waiting) = active.stage {
             self.quorum.give_up(waiting);
-            self.writes.remove(&waiting);
+            self.unconfirmed_writes.remove(&waiting);
         }
-        self.decide_key(&active, &verdict);
+        self.record_key_verdict(&active, &verdict);
         self.context
             .metrics
             .count_request(&verdict, active.terms.urgency);
@@ -193,8 +201,9 @@
         });
     }
 
-    /// Notes a keyed request's verdict and gives it to the resends that wait for it.
-    fn decide_key(&mut self, active: &ActiveRequest, verdict: &RequestVerdict) {
+    /// Records the verdict of a request with a key in the journal and sends it to the waiting
+    /// resends.
+    fn record_key_verdict(&mut self, active: &ActiveRequest, verdict: &RequestVerdict) {
         let (Some(key), Some(_)) = (active.request.marks.key, active.key_entry) else {
             return;
         };
@@ -205,7 +214,7 @@
             journal.decide(&customer, key, verdict);
         }
         let keyed = KeyedRequest { customer, key };
-        for waiter in self.resends.remove(&keyed).unwrap_or_default() {
+        for waiter in self.resend_waiters.remove(&keyed).unwrap_or_default() {
             let _ = waiter.reply.send(StatementReply {
                 id: waiter.id,
                 verdict: verdict.clone(),
@@ -214,8 +223,9 @@
         }
     }
 
-    /// Ends the waits whose deadline has passed.
-    pub(super) fn end_overdue(&mut self) {
+    /// Ends the waits for the journal, a majority or a read round whose deadline has passed. The
+    /// scheduler and the connections watch the deadlines of queued and running requests.
+    pub(super) fn expire_overdue_waits(&mut self) {
         let now = self.context.clock.now();
         let overdue = self.requests.iter().filter(|(_, active)| {
             let confirming = !matches!(
@@ -226,9 +236,9 @@
         });
         let overdue: Vec<RequestTicket> = overdue.map(|(ticket, _)| *ticket).collect();
         for ticket in overdue {
-            self.end_wait(ticket);
+            self.expire_wait(ticket);
         }
-        for waiters in self.resends.values_mut() {
+        for waiters in self.resend_waiters.values_mut() {
             for waiter in waiters.extract_if(.., |waiter| now >= waiter.deadline) {
                 let _ = waiter.reply.send(StatementReply {
                     id: waiter.id,
@@ -237,17 +247,18 @@
                 });
             }
         }
-        self.resends.retain(|_, waiters| !waiters.is_empty());
+        self.resend_waiters.retain(|_, waiters| !waiters.is_empty());
     }
 
-    fn end_wait(&mut self, ticket: RequestTicket) {
+    /// Refuses a request that has not started, and reports the others as in doubt.
+    fn expire_wait(&mut self, ticket: RequestTicket) {
         let Some(active) = self.requests.get(&ticket) else {
             return;
         };
         match active.stage {
             RequestStage::Journaling(_) => {
                 let outcome = FinishOutcome::NotRun;
-                self.give_back(ticket, outcome, RefusalCause::DeadlinePassed);
+                self.return_request(ticket, outcome, RefusalCause::DeadlinePassed);
             }
             RequestStage::AwaitingMajority(waiting) => {
                 let time = active.deadline.since(active.arrived);
@@ -261,7 +272,7 @@
         }
     }
 
-    /// Cancels a statement: one that waits does not run, one that runs is cancelled at its endpoint.
+    /// Cancels a statement: a queued one is refused, a running one is cancelled at its endpoint.
     pub(super) fn cancel(&mut self, id: StatementId) {
         let Some(ticket) = self.tickets.get(&id).copied() else {
             return;
@@ -273,7 +284,7 @@
         match stage {
             Some(RequestStage::Running(connection)) => {
                 if let Some(held) = self.pool.connection(connection) {
-                    held.spent |= held.send(ConnectionOrder::Cancel);
+                    held.unusable |= held.send(ConnectionOrder::Cancel);
                 }
             }
             Some(RequestStage::Waiting)
--- a/crates/daemon/src/group/ending.rs
+++ b/crates/daemon/src/group/ending.rs
@@ -1,4 +1,4 @@
-//! What becomes of the questions that wait in the queue of a task which ends.
+//! Refuses the requests that are left in a group task's queue when the task ends.
 
 use super::GroupEvent;
 use crate::gateway::reply_with;
@@ -15,11 +15,11 @@
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 
-/// Closes the queue of a group's task and refuses what waits in it.
+/// Closes the queue of a group's task and refuses the requests in it.
 ///
-/// A statement that is dropped with the queue has no reply, so that its gateway must take it for one
-/// that may have run: a clerk would be told "in doubt" at a planned handover, and couldn't send the
-/// write again. Closed first, the queue takes in nothing behind the last one that is refused here.
+/// A statement that is dropped with the queue gets no reply, so that its gateway must report it as
+/// in doubt although it never ran; at a planned handover the caller could not repeat a write
+/// safely. The queue is closed first, so that nothing can be added after the last refusal.
 pub(crate) async fn refuse_queue(group: &GroupName, queue: &mut mpsc::Receiver<GroupEvent>) {
     queue.close();
     let mut refused = 0;
@@ -27,8 +27,8 @@
         match event {
             GroupEvent::Statement(request, reply) => refuse_statement(&request, reply),
             GroupEvent::Describe(request, reply) => refuse_shape(&request, reply),
-            // A cancelled statement is settled by the task's end, an endpoint announces itself again,
-            // and an operator is told by the missing answer.
+            // These need no reply: the end of the task settles a cancelled statement, an endpoint
+            // announces itself again, and the dump's receiver sees the closed channel.
             GroupEvent::Cancel(_) | GroupEvent::Announced(_) | GroupEvent::Dump(_) => continue,
         }
         refused += 1;
@@ -43,19 +43,19 @@
     }
 }
 
-/// Tells the asker that no leaseholder took its statement in.
+/// Refuses a statement because no leaseholder has taken it in.
 pub(crate) fn refuse_statement(request: &StatementRequest, reply: oneshot::Sender<StatementReply>) {
     let verdict = RequestVerdict::refused(RefusalCause::NoLeaseholder, 0);
-    // An asker that is gone needs no answer.
+    // The caller may have gone.
     let _ = reply.send(reply_with(request, verdict));
 }
 
-/// Tells the asker that no leaseholder describes its statement.
+/// Refuses a description because no leaseholder has taken it in.
 pub(crate) fn refuse_shape(request: &ShapeRequest, reply: oneshot::Sender<ShapeReply>) {
     let refused = ShapeReply {
         id: request.id,
         outcome: ShapeOutcome::refused(RefusalCause::NoLeaseholder, 0),
     };
-    // An asker that is gone needs no answer.
+    // The caller may have gone.
     let _ = reply.send(refused);
 }
--- a/crates/daemon/src/group/handover.rs
+++ b/crates/daemon/src/group/handover.rs
@@ -1,7 +1,9 @@
-//! Hands the group over to another VM: when this one drains, or leads more than its share.
+//! Hands the group over to another VM, when this VM drains, leads more than its share of groups, or
+//! can't reach the primary while a standby can.
 //!
-//! The leaseholder first takes nothing in, lets what runs end, and then proposes the new placement
-//! itself. Nobody else could know when nothing is in flight.
+//! The leaseholder stops taking statements in, waits until its requests and transactions have ended
+//! or half the drain time has passed, and then proposes the new placement itself, since only it
+//! knows when nothing is in flight.
 
 use super::GroupTask;
 use crate::log_event;
@@ -15,33 +17,36 @@
 use ragwort_types::VmName;
 use std::time::Duration;
 
-/// How often the leaseholder looks whether the group should move.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+/// The interval between checks whether the group should move.
+const HANDOVER_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long statements and transactions may go on before they are cut by the handover. It leaves
-/// the rest of the drain time for the handover itself.
-const DRAIN_PART: u32 = 2;
+/// The part of the drain time, as a divisor, that statements and transactions get before the
+/// handover cuts them off. The rest remains for the handover itself.
+const DRAIN_TIME_DIVISOR: u32 = 2;
 
-/// The course of a handover.
+/// The progress of a handover.
 #[derive(Debug, Default)]
 pub(super) struct HandoverState {
+    /// The placement to propose; `None` while no handover is in progress.
     plan: Option<GroupPlacement>,
-    begun: ClockTime,
-    looked: ClockTime,
-    /// The revision that was looked at last.
-    seen: Option<CatalogRevision>,
+    begun_at: ClockTime,
+    checked_at: ClockTime,
+    /// The catalog revision of the last check.
+    checked_revision: Option<CatalogRevision>,
+    /// Whether the placement has been proposed and its outcome is open.
     proposed: bool,
 }
 
 impl GroupTask {
-    /// Begins, continues or proposes a handover.
+    /// Starts a handover that is due, and proposes the new placement when the group is idle or the
+    /// wait is over.
     pub(super) fn tick_handover(&mut self) {
         let now = self.context.clock.now();
         if self.handover.plan.is_none() {
-            self.look_for_handover(now);
+            self.check_for_handover(now);
         }
         let drain = Duration::from_millis(self.context.settings.timing.drain_ms);
-        let waited = now.since(self.handover.begun) >= drain / DRAIN_PART;
+        let waited = now.since(self.handover.begun_at) >= drain / DRAIN_TIME_DIVISOR;
         let idle = self.requests.is_empty() && self.transactions.is_empty();
         if self.handover.proposed || !(idle || waited) {
             return;
@@ -52,17 +57,18 @@
         }
     }
 
-    fn look_for_handover(&mut self, now: ClockTime) {
-        if now.since(self.handover.looked) < LOOK_EVERY || !self.may_act() {
+    /// Starts a handover if the planner has one for this group.
+    fn check_for_handover(&mut self, now: ClockTime) {
+        if now.since(self.handover.checked_at) < HANDOVER_CHECK_INTERVAL || !self.may_act() {
             return;
         }
-        self.handover.looked = now;
+        self.handover.checked_at = now;
         let copy = self.view.borrow().copy.clone();
-        // The plan looks at every group and VM; while nothing changed it would be the same again.
-        if self.handover.seen == Some(copy.revision()) {
+        // A plan covers all groups and VMs, and the same revision would give the same plan.
+        if self.handover.checked_revision == Some(copy.revision()) {
             return;
         }
-        self.handover.seen = Some(copy.revision());
+        self.handover.checked_revision = Some(copy.revision());
         let plans = self
             .context
             .handovers
@@ -72,7 +78,7 @@
         }
     }
 
-    /// Hands the group over to a standby that reaches the primary, which this VM doesn't.
+    /// Starts a handover to a standby that reaches the primary, which this VM doesn't.
     pub(super) fn hand_over_to(&mut self, standby: &VmName) {
         if self.handover.plan.is_some() || !self.may_act() {
             return;
@@ -89,6 +95,7 @@
         self.begin_handover(plan);
     }
 
+    /// Stops taking statements in, until `plan` can be proposed.
     fn begin_handover(&mut self, plan: GroupPlacement) {
         log_event!(
             Level::Info,
@@ -97,14 +104,14 @@
             successor = plan.leaseholder,
         );
         self.handover.plan = Some(plan);
-        self.handover.begun = self.context.clock.now();
+        self.handover.begun_at = self.context.clock.now();
         self.handing_over = true;
     }
 
-    /// Takes the answer to the proposed placement.
-    pub(super) fn take_handover_reply(&mut self, reply: &CommandReply) {
+    /// Handles the outcome of the proposed placement; a rejected one ends the handover.
+    pub(super) fn handle_handover_reply(&mut self, reply: &CommandReply) {
         match reply {
-            // The view shows the new placement soon, which ends this task.
+            // The next catalog view shows the new placement, which ends this task.
             CommandReply::Committed(CatalogOutcome::Done(_)) => {}
             CommandReply::Committed(_) => {
                 self.handover = HandoverState::default();
--- a/crates/daemon/src/group/instances.rs
+++ b/crates/daemon/src/group/instances.rs
@@ -1,4 +1,7 @@
-//! The group's instance set: whom it counts towards a majority, changed by one instance at a time.
+//! Maintains the group's instance set, of which a majority must hold each write.
+//!
+//! Instances are added and removed one at a time, so that any majority of the old set shares an
+//! instance with any majority of the new one.
 
 use super::GroupTask;
 use ragwort_control::ClockTime;
@@ -11,27 +14,30 @@
 use ragwort_types::InstanceRole;
 use std::time::Duration;
 
-/// How long a new group's endpoints are gathered before the first one is chosen.
-const GATHER_TIME: Duration = Duration::from_millis(300);
+/// How long a new group collects announcements before its first instance is chosen.
+const FORMATION_WAIT: Duration = Duration::from_millis(300);
 
-/// How long an instance must be silent before it is taken for lost. A restart of an endpoint takes
-/// less; a longer wait would leave the group with a majority that one more loss breaks.
-const LOST_INSTANCE: Duration = Duration::from_secs(5);
+/// How long an instance must be silent before it counts as lost. The restart of an endpoint takes
+/// less time; with a longer wait, one more loss could leave the group without a majority.
+const LOST_INSTANCE_SILENCE: Duration = Duration::from_secs(5);
 
-/// The smallest set that a lost instance is removed from: what is left must still be three.
-const SMALLEST_SHRINKING_SET: usize = 4;
+/// The smallest set from which a lost instance is removed, so that at least three remain.
+const MIN_SET_TO_SHRINK: usize = 4;
 
-/// The pause before a command without a known outcome is proposed again.
-const COMMAND_PAUSE: Duration = Duration::from_millis(50);
+/// The pause before a command with an unknown outcome is proposed again.
+const COMMAND_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 impl GroupTask {
-    /// Chooses a new group's first instance: the announced primary, or the one with most data.
+    /// Adds the first instance of a new group: the announced primary, or else the instance with the
+    /// highest position.
     pub(super) fn form_group(&mut self, now: ClockTime) {
         if !self.record.instances.is_empty() {
             self.step_promotion(PromotionInput::FormationReady);
             return;
         }
-        if self.promotion.changing_set || now.since(self.promotion.born) < GATHER_TIME {
+        if self.promotion.set_change_pending
+            || now.since(self.promotion.resumed_at) < FORMATION_WAIT
+        {
             return;
         }
         let best = self.pool.endpoints().max_by_key(|entry| {
@@ -41,12 +47,12 @@
         let Some(instance) = best.map(|entry| entry.announcement.instance.clone()) else {
             return;
         };
-        self.promotion.changing_set = true;
-        let change = self.describe_change(instance);
+        self.promotion.set_change_pending = true;
+        let change = self.instance_change(instance);
         self.propose(CatalogCommand::AddInstance(change), Duration::ZERO);
     }
 
-    fn describe_change(&self, instance: InstanceName) -> InstanceChange {
+    fn instance_change(&self, instance: InstanceName) -> InstanceChange {
         InstanceChange {
             group: self.group.clone(),
             epoch: self.record.placement.epoch,
@@ -55,53 +61,54 @@
         }
     }
 
-    /// Adds an instance that has caught up, or removes one that leaves; one change at a time.
+    /// Adds an instance that has caught up, or removes one that leaves or is lost, unless another
+    /// change is pending.
     pub(super) fn change_instance_set(&mut self) {
-        if self.promotion.changing_set {
+        if self.promotion.set_change_pending {
             return;
         }
-        if let Some(instance) = self.find_joiner() {
-            self.promotion.changing_set = true;
+        if let Some(instance) = self.find_addable_instance() {
+            self.promotion.set_change_pending = true;
             self.quorum.propose_add(&instance);
-            let change = self.describe_change(instance);
+            let change = self.instance_change(instance);
             self.propose(CatalogCommand::AddInstance(change), Duration::ZERO);
-        } else if let Some(instance) = self.find_leaver() {
-            self.promotion.changing_set = true;
+        } else if let Some(instance) = self.find_removable_instance() {
+            self.promotion.set_change_pending = true;
             self.quorum.propose_remove(&instance);
-            let change = self.describe_change(instance);
+            let change = self.instance_change(instance);
             self.propose(CatalogCommand::RemoveInstance(change), Duration::ZERO);
         }
     }
 
-    fn find_joiner(&self) -> Option<InstanceName> {
+    fn find_addable_instance(&self) -> Option<InstanceName> {
         let mut announced = self.pool.endpoints().map(|entry| &entry.announcement);
-        let joiner = announced.find(|announcement| {
+        let addable = announced.find(|announcement| {
             !announcement.status.leaving && self.quorum.may_add(&announcement.instance)
         });
-        joiner.map(|announcement| announcement.instance.clone())
+        addable.map(|announcement| announcement.instance.clone())
     }
 
-    /// Finds an instance that leaves, or one that is lost and has been replaced.
+    /// Finds an instance that leaves, or one that is lost and may be removed.
     ///
-    /// A lost instance in a set of even size makes the majority larger than it need be: with four
+    /// A lost instance in a set of even size makes the majority larger than needed: with four
     /// instances and one lost, the loss of a second would stop all writes. In a set of odd size its
-    /// removal would not make the majority smaller, so it may as well come back.
-    fn find_leaver(&self) -> Option<InstanceName> {
+    /// removal would not make the majority smaller, so it stays and may return.
+    fn find_removable_instance(&self) -> Option<InstanceName> {
         let now = self.context.clock.now();
         let count = self.record.instances.len();
-        let replaced = count >= SMALLEST_SHRINKING_SET && count.is_multiple_of(2);
+        let replaced = count >= MIN_SET_TO_SHRINK && count.is_multiple_of(2);
         let mut members = self.record.instances.iter();
-        let leaver = members.find(|instance| {
+        let removable = members.find(|instance| {
             let leaves = match self.pool.endpoint(instance) {
                 Some(entry) => entry.announcement.status.leaving,
-                None => replaced && self.pool.silent_for(instance, now) >= LOST_INSTANCE,
+                None => replaced && self.pool.silent_for(instance, now) >= LOST_INSTANCE_SILENCE,
             };
             leaves && self.quorum.may_remove(instance)
         });
-        leaver.cloned()
+        removable.cloned()
     }
 
-    /// Promotes another instance when the primary announces that it leaves.
+    /// Starts the promotion of another instance when the primary announces that it leaves.
     pub(super) fn replace_leaving_primary(&mut self) {
         let primary = self.record.primary.as_ref();
         let entry = primary.and_then(|primary| self.pool.endpoint(primary));
@@ -112,16 +119,20 @@
         }
     }
 
-    pub(super) fn end_set_change(&mut self, command: CatalogCommand, reply: &CommandReply) {
+    /// Handles the outcome of a proposed change of the instance set.
+    pub(super) fn finish_set_change(&mut self, command: CatalogCommand, reply: &CommandReply) {
         match reply {
-            CommandReply::Committed(CatalogOutcome::Done(_)) => self.promotion.changing_set = false,
+            CommandReply::Committed(CatalogOutcome::Done(_)) => {
+                self.promotion.set_change_pending = false
+            }
             CommandReply::Committed(_) => {
-                self.promotion.changing_set = false;
+                self.promotion.set_change_pending = false;
                 self.quorum.withdraw_proposal();
             }
-            // It may yet be committed: both sets must agree until it's known, so it is asked again.
+            // The change may still be committed. Until the outcome is known, majorities of both
+            // sets are required, so the command is proposed again.
             CommandReply::NoLeader | CommandReply::Unknown => {
-                self.propose(command, COMMAND_PAUSE);
+                self.propose(command, COMMAND_RETRY_PAUSE);
             }
         }
     }
--- a/crates/daemon/src/group/intake.rs
+++ b/crates/daemon/src/group/intake.rs
@@ -1,4 +1,5 @@
-//! Takes statements in: contract, deadline, request key, then the scheduler's decision.
+//! Admits statements: checks lease, contract and caller, computes the deadline, looks the request
+//! key up, and queues the statement with the scheduler or refuses it.
 
 use super::GroupTask;
 use super::request::ActiveRequest;
@@ -39,31 +40,31 @@
 use std::time::SystemTime;
 use tokio::sync::oneshot;
 
-/// When a caller should come back that met a leaseholder which is still collecting its journal.
-const RECOVERY_RETURN_MS: u64 = 100;
+/// The retry delay, in milliseconds, of a caller whose leaseholder is still recovering its journal.
+const RECOVERY_RETRY_AFTER_MS: u64 = 100;
 
-/// When a caller should come back whose write no majority would hold in time.
-const BEHIND_RETURN_MS: u64 = 500;
+/// The retry delay, in milliseconds, of a caller whose write a majority would not hold in time.
+const REPLICAS_BEHIND_RETRY_AFTER_MS: u64 = 500;
 
-/// What stands in the way of taking a statement in.
-pub(super) struct IntakeRefusal {
-    /// Why it isn't taken in.
+/// The reason why a statement isn't admitted.
+pub(super) struct AdmissionRefusal {
+    /// The cause that the caller is told.
     pub(super) cause: RefusalCause,
-    /// When to come back, in milliseconds; zero if that is useless.
+    /// The delay before a retry, in milliseconds; zero if a retry is useless.
     pub(super) come_back_after_ms: u64,
 }
 
-/// Whose statement it is, and what was said about it.
+/// The origin of a statement, as far as its admission depends on it.
 pub(super) struct StatementOrigin<'a> {
     /// The customer.
     pub(super) customer: &'a CustomerName,
     /// The caller's marks.
     pub(super) marks: &'a RequestMarks,
-    /// How the statement belongs to a transaction.
+    /// The statement's place in a transaction.
     pub(super) step: TransactionStep,
 }
 
-impl IntakeRefusal {
+impl AdmissionRefusal {
     fn new(cause: RefusalCause) -> Self {
         Self {
             cause,
@@ -73,8 +74,8 @@
 }
 
 impl GroupTask {
-    /// Takes a statement in, or answers it at once.
-    pub(super) fn take_statement(
+    /// Queues a statement, or answers it at once.
+    pub(super) fn handle_statement(
         &mut self,
         request: Box<StatementRequest>,
         reply: oneshot::Sender<StatementReply>,
@@ -118,26 +119,33 @@
         }
     }
 
-    fn check_caller(&self, request: &StatementRequest) -> Result<(), IntakeRefusal> {
+    /// Checks the caller's key against the customer's contract.
+    fn check_caller(&self, request: &StatementRequest) -> Result<(), AdmissionRefusal> {
         let view = self.view.borrow();
         let contract = view.copy.contract(&request.customer);
-        let taken =
+        let accepted =
             contract.is_some_and(|held| is_caller_taken(&view.copy, &held.contract, request));
-        match taken {
+        match accepted {
             true => Ok(()),
-            false => Err(IntakeRefusal::new(RefusalCause::UnknownKey)),
+            false => Err(AdmissionRefusal::new(RefusalCause::UnknownKey)),
         }
     }
 
-    /// Says under which terms a statement may be taken in, if it may.
+    /// Checks whether a statement may be admitted, and returns the contract terms that apply to it.
+    ///
+    /// # Errors
+    ///
+    /// Returns a refusal if this VM doesn't lead the group, the contract doesn't allow the
+    /// statement, the journal is not recovered yet, the transaction is unknown, or a key is used
+    /// within a transaction.
     pub(super) fn check_statement(
         &self,
         origin: &StatementOrigin<'_>,
         now: ClockTime,
-    ) -> Result<KindTerms, IntakeRefusal> {
+    ) -> Result<KindTerms, AdmissionRefusal> {
         let view = self.view.borrow();
-        // A leaseholder whose lease has ended may have a successor that dispatches already.
-        // One that hands over lets open transactions end, and takes nothing else in.
+        // After the end of the lease a successor may already dispatch. During a handover only the
+        // statements of open transactions are admitted.
         let opens = matches!(
             origin.step,
             TransactionStep::Single | TransactionStep::Begin(_)
@@ -145,17 +153,17 @@
         let leaves = self.handing_over && opens;
         let leads = view.may_lead(now, &self.context.settings.vm, &self.group);
         if !leads || leaves || self.journal_is_deposed() {
-            return Err(IntakeRefusal::new(RefusalCause::NoLease));
+            return Err(AdmissionRefusal::new(RefusalCause::NoLease));
         }
         let contract = view.copy.contract(origin.customer);
         let contract = contract.map(|held| &held.contract);
         let allowed = contract.filter(|contract| contract.groups.contains(&self.group));
         let terms = allowed.and_then(|contract| apply_marks(contract, origin.marks));
-        let terms = terms.ok_or(IntakeRefusal::new(RefusalCause::Contract))?;
+        let terms = terms.ok_or(AdmissionRefusal::new(RefusalCause::Contract))?;
         if self.journal.is_none() {
-            return Err(IntakeRefusal {
+            return Err(AdmissionRefusal {
                 cause: RefusalCause::NoLeaseholder,
-                come_back_after_ms: RECOVERY_RETURN_MS,
+                come_back_after_ms: RECOVERY_RETRY_AFTER_MS,
             });
         }
         match origin.step {
@@ -164,23 +172,24 @@
             | TransactionStep::Commit(id)
             | TransactionStep::Rollback(id) => {
                 if !self.transactions.contains_key(&id) {
-                    return Err(IntakeRefusal::new(RefusalCause::TransactionLost));
+                    return Err(AdmissionRefusal::new(RefusalCause::TransactionLost));
                 }
             }
         }
-        // A key names one statement; within a transaction it could not say which of them ran.
+        // A key identifies one statement; for a transaction it could not say which of its
+        // statements ran.
         if origin.marks.key.is_some() && origin.step != TransactionStep::Single {
-            return Err(IntakeRefusal::new(RefusalCause::RequestKey));
+            return Err(AdmissionRefusal::new(RefusalCause::RequestKey));
         }
         Ok(terms)
     }
 
-    /// Says whether a write can't be acknowledged before its deadline, because the replicas are too
-    /// far behind.
+    /// Returns whether a write, or a transaction's begin, could not be acknowledged before its
+    /// deadline because the replicas are too far behind.
     ///
-    /// It would run and end in doubt: its caller would wait for nothing and not know whether to send
-    /// it again.
-    fn is_too_far_behind(&self, ticket: RequestTicket, now: ClockTime) -> bool {
+    /// If it were admitted, it would run and end in doubt: the caller would wait until the deadline
+    /// and not know whether to repeat it.
+    fn would_miss_write_deadline(&self, ticket: RequestTicket, now: ClockTime) -> bool {
         let Some(active) = self.requests.get(&ticket) else {
             return false;
         };
@@ -212,7 +221,7 @@
         true
     }
 
-    /// Lists where each instance stands and how old its data can be, for the log.
+    /// Returns the position and the data's age bound of each instance as text for the log.
     fn list_positions(&self, now: ClockTime) -> String {
         let instances = self.record.instances.iter();
         let texts = instances.map(|instance| {
@@ -225,18 +234,21 @@
         texts.collect::<Vec<_>>().join(",")
     }
 
-    /// Returns how long a write has to wait for a majority at least.
+    /// Returns a lower bound of the time that a write waits for a majority.
     fn majority_lag(&self, now: ClockTime) -> Duration {
         let served = self
             .serving_since
             .map_or(Duration::ZERO, |since| now.since(since));
-        // While it isn't known, as in the first moments of a term, it can't exceed the term.
+        // While the lag is unknown, as right after the start of a term, the term's age is an upper
+        // bound.
         self.quorum.majority_lag(now).unwrap_or(served)
     }
 
-    /// Looks a request's key up; returns the request if it is to run.
+    /// Looks up the key of a write in the journal; returns the request if it is to run.
     ///
-    /// A key that is known was sent before: running the request again would do its work twice.
+    /// A known key belongs to an earlier attempt, and running the request again would repeat its
+    /// work. The caller gets that attempt's verdict, waits for it, or is told that the outcome is
+    /// in doubt.
     fn admit_key(&mut self, mut active: ActiveRequest) -> Option<ActiveRequest> {
         let key = active.request.marks.key;
         let (Some(key), AccessMode::Write) = (key, active.terms.access) else {
@@ -251,11 +263,14 @@
             }
             KeyAdmission::Running => {
                 let keyed = KeyedRequest { customer, key };
-                self.resends.entry(keyed).or_default().push(ResendWaiter {
-                    id: active.request.id,
-                    reply: active.reply,
-                    deadline: active.deadline,
-                });
+                self.resend_waiters
+                    .entry(keyed)
+                    .or_default()
+                    .push(ResendWaiter {
+                        id: active.request.id,
+                        reply: active.reply,
+                        deadline: active.deadline,
+                    });
                 return None;
             }
             KeyAdmission::Decided(verdict) => verdict,
@@ -271,14 +286,18 @@
         None
     }
 
+    /// Gives a request a ticket and queues it with the scheduler, or refuses it.
     fn enqueue(&mut self, active: ActiveRequest, now: ClockTime) {
         self.last_ticket += 1;
         let ticket = RequestTicket(self.last_ticket);
-        let profile = self.describe_request(ticket, &active);
+        let profile = self.request_profile(ticket, &active);
         self.tickets.insert(active.request.id, ticket);
         self.requests.insert(ticket, active);
-        if self.is_too_far_behind(ticket, now) {
-            let verdict = RequestVerdict::refused(RefusalCause::ReplicasBehind, BEHIND_RETURN_MS);
+        if self.would_miss_write_deadline(ticket, now) {
+            let verdict = RequestVerdict::refused(
+                RefusalCause::ReplicasBehind,
+                REPLICAS_BEHIND_RETRY_AFTER_MS,
+            );
             self.settle(ticket, verdict);
             return;
         }
@@ -287,7 +306,8 @@
         }
     }
 
-    fn describe_request(&self, ticket: RequestTicket, active: &ActiveRequest) -> RequestProfile {
+    /// Returns the scheduling profile of a request.
+    fn request_profile(&self, ticket: RequestTicket, active: &ActiveRequest) -> RequestProfile {
         let request = &active.request;
         let step = self.scheduler_step(request.step);
         let required = self.required_position(&request.customer, &request.session);
@@ -306,7 +326,7 @@
             repeat: active.terms.repeat,
             urgency: active.terms.urgency,
             length: active.terms.length,
-            // A session whose last write isn't known is only safe at the primary.
+            // A session whose last write is unknown can only be served by the primary.
             needs_primary: step != RequestStep::Single || required.is_none(),
             min_position: required.unwrap_or_default(),
             max_age: Duration::from_millis(active.terms.max_age_ms),
@@ -316,7 +336,7 @@
         }
     }
 
-    /// Returns how the scheduler sees a statement's part in its transaction.
+    /// Returns a statement's place in its transaction in the scheduler's terms.
     pub(super) fn scheduler_step(&self, step: TransactionStep) -> RequestStep {
         match step {
             TransactionStep::Single => RequestStep::Single,
@@ -330,7 +350,8 @@
         }
     }
 
-    /// Returns what an instance must hold to serve a session; `None` if that isn't known.
+    /// Returns the position that an instance must have reached to serve a session; `None` if it is
+    /// unknown.
     pub(super) fn required_position(
         &self,
         customer: &CustomerName,
@@ -341,27 +362,27 @@
     }
 }
 
-/// Returns the terms of a statement's kind, tightened by what the caller marked.
+/// Returns the terms of a statement's kind, tightened by the caller's marks.
 fn apply_marks(contract: &CustomerContract, marks: &RequestMarks) -> Option<KindTerms> {
     let mut terms = find_terms(contract, marks)?;
-    if let Some(asked) = marks.max_age_ms {
-        terms.max_age_ms = terms.max_age_ms.min(asked);
+    if let Some(requested) = marks.max_age_ms {
+        terms.max_age_ms = terms.max_age_ms.min(requested);
     }
-    // Urgency is the contract's to give: a caller may waive it, but not take it.
+    // Only the contract can grant urgency; a caller can only waive it.
     if marks.urgent == Some(false) {
         terms.urgency = UrgencyClass::Ordinary;
     }
     Some(terms)
 }
 
-/// Returns a hash of a text, by which the scheduler tells sessions apart.
+/// Returns a hash of a text, by which the scheduler distinguishes sessions.
 pub(crate) fn hash_text(text: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     text.hash(&mut hasher);
     hasher.finish()
 }
 
-/// Returns the wall clock, in milliseconds since the Unix epoch.
+/// Returns the wall-clock time in milliseconds since the Unix epoch.
 pub(super) fn unix_millis() -> u64 {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as u64)
--- a/crates/daemon/src/group/journaling.rs
+++ b/crates/daemon/src/group/journaling.rs
@@ -1,4 +1,10 @@
 //! Recovers a group's journal at takeover and replicates it to the standbys.
+//!
+//! The journal holds request keys with their verdicts and the sessions' last write positions. A new
+//! leaseholder collects the copies of the VMs of the present and the previous placement, merges
+//! them, and sends every standby what it lacks. Once all standbys hold the whole journal, its epoch
+//! is confirmed in the agreed log. Until then nothing that depends on the journal is dispatched, so
+//! that a later leaseholder knows which copies are complete.
 
 use super::GroupTask;
 use super::intake::unix_millis;
@@ -24,27 +30,28 @@
 use tokio::sync::oneshot;
 use tokio::time::sleep;
 
-/// How long a VM may take to hand over its copy of the journal.
+/// The time limit for reading another VM's copy of the journal.
 ///
-/// A VM that is lost with the former leaseholder never answers, and the group serves nothing until
-/// then; a live one answers within a few round trips.
-const COPY_LIMIT: Duration = Duration::from_millis(300);
+/// A VM that failed together with the former leaseholder never answers, and the group serves
+/// nothing until the limit has passed; a live VM answers within a few round trips.
+const JOURNAL_COPY_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The pause before a standby that did not answer is tried again.
-const APPEND_PAUSE: Duration = Duration::from_millis(20);
+/// The pause before an append to a standby that did not answer is repeated.
+const APPEND_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// The pause before a confirmation without a known outcome is proposed again.
-const CONFIRM_PAUSE: Duration = Duration::from_millis(20);
+/// The pause before a confirmation with an unknown outcome is proposed again.
+const CONFIRM_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// What is known while a journal is recovered.
+/// The progress of a journal's recovery: the VMs whose copies are outstanding, and the copies
+/// received.
 #[derive(Debug, Default)]
 pub(super) struct JournalRecovery {
-    asked: BTreeSet<VmName>,
+    awaited: BTreeSet<VmName>,
     sources: Vec<JournalSource>,
 }
 
 impl GroupTask {
-    /// Asks every VM that may hold a copy of the journal for it.
+    /// Requests a copy of the journal from every VM that may hold one.
     pub(super) fn begin_recovery(&mut self) {
         let placement = &self.record.placement;
         let mut holders: BTreeSet<VmName> = placement.standbys.iter().cloned().collect();
@@ -53,13 +60,14 @@
             holders.extend(previous.standbys.iter().cloned());
         }
         holders.insert(self.context.settings.vm.clone());
-        self.recovery.asked = holders.clone();
+        self.recovery.awaited = holders.clone();
         for vm in holders {
-            self.ask_for_copy(vm);
+            self.request_journal_copy(vm);
         }
     }
 
-    fn ask_for_copy(&mut self, vm: VmName) {
+    /// Requests one VM's copy of the journal; this VM's own copy comes from its standby task.
+    fn request_journal_copy(&mut self, vm: VmName) {
         let request = JournalRequest {
             to: vm.clone(),
             group: self.group.clone(),
@@ -85,7 +93,7 @@
                 Some(address) => {
                     let call =
                         |client: Arc<WsClient>| async move { client.read_journal(request).await };
-                    links.call(address, COPY_LIMIT, call).await.ok()
+                    links.call(address, JOURNAL_COPY_TIMEOUT, call).await.ok()
                 }
                 None => None,
             };
@@ -97,15 +105,16 @@
         });
     }
 
-    /// Takes a copy of the journal, and starts to serve when all that can come have come.
-    pub(super) fn take_journal_copy(&mut self, vm: &VmName, source: Option<JournalSource>) {
-        if self.journal.is_some() || !self.recovery.asked.remove(vm) {
+    /// Adds a copy of the journal, and resumes the journal as soon as the copies are complete or
+    /// none is outstanding.
+    pub(super) fn handle_journal_copy(&mut self, vm: &VmName, source: Option<JournalSource>) {
+        if self.journal.is_some() || !self.recovery.awaited.remove(vm) {
             return;
         }
         self.recovery.sources.extend(source);
         let confirmed = self.record.journal_epoch;
         let recovered = recover_journal(&self.recovery.sources, confirmed, unix_millis());
-        if !recovered.is_complete() && !self.recovery.asked.is_empty() {
+        if !recovered.is_complete() && !self.recovery.awaited.is_empty() {
             return;
         }
         log_event!(
@@ -118,17 +127,17 @@
             copies = self.recovery.sources.len(),
         );
         self.journal = Some(GroupJournal::resume(recovered, &self.record.placement));
-        self.journal_since = self.context.clock.now();
+        self.journal_recovered_at = self.context.clock.now();
         self.recovery = JournalRecovery::default();
     }
 
-    /// Sends each standby what it lacks, one append at a time.
+    /// Sends each standby the entries that it lacks, with one append in flight per standby.
     pub(super) fn replicate_journal(&mut self) {
         let Some(journal) = &mut self.journal else {
             return;
         };
         for vm in &self.record.placement.standbys {
-            if self.appending.contains(vm) {
+            if self.appends_in_flight.contains(vm) {
                 continue;
             }
             let Some(append) = journal.next_append(vm) else {
@@ -138,7 +147,7 @@
             let Some(member) = member else {
                 continue;
             };
-            self.appending.insert(vm.clone());
+            self.appends_in_flight.insert(vm.clone());
             let links = self.context.links.clone();
             let notices = self.notices.clone();
             let limit = Duration::from_millis(self.context.settings.timing.lease_ms / 2);
@@ -149,7 +158,7 @@
                     |client: Arc<WsClient>| async move { client.append_journal(append).await };
                 let reply = links.call(member.peer_address, limit, call).await.ok();
                 if reply.is_none() {
-                    sleep(APPEND_PAUSE).await;
+                    sleep(APPEND_RETRY_PAUSE).await;
                 }
                 let report = JournalReport { vm, epoch, reply };
                 let _ = notices.send(GroupNotice::Journal(report)).await;
@@ -159,19 +168,22 @@
 
     /// Confirms the epoch in the agreed log once every standby holds the whole journal.
     ///
-    /// Nothing that the journal must know is dispatched before. Otherwise a successor could not tell
-    /// a whole copy from one that was left behind, and would either run a request twice or answer
-    /// fresh requests as doubtful.
+    /// No request that must be journaled is dispatched earlier. Otherwise a successor could not
+    /// distinguish a complete copy from an outdated one, and would either run a request twice or
+    /// report new requests as in doubt.
     pub(super) fn confirm_journal(&mut self) {
         let epoch = self.record.placement.epoch;
         let established = self
             .journal
             .as_ref()
             .is_some_and(GroupJournal::is_established);
-        if self.journal_confirmed == epoch || self.confirming == Some(epoch) || !established {
+        if self.confirmed_journal_epoch == epoch
+            || self.confirming_epoch == Some(epoch)
+            || !established
+        {
             return;
         }
-        self.confirming = Some(epoch);
+        self.confirming_epoch = Some(epoch);
         let mark = JournalMark {
             group: self.group.clone(),
             epoch,
@@ -179,35 +191,35 @@
         self.propose(CatalogCommand::ConfirmJournal(mark), Duration::ZERO);
     }
 
-    /// Takes the answer to a confirmation.
-    pub(super) fn take_journal_mark(&mut self, mark: JournalMark, reply: &CommandReply) {
+    /// Handles the outcome of a proposed confirmation.
+    pub(super) fn handle_journal_mark(&mut self, mark: JournalMark, reply: &CommandReply) {
         if mark.epoch != self.record.placement.epoch {
             return;
         }
         match reply {
             CommandReply::Committed(CatalogOutcome::Done(_)) => {
-                self.journal_confirmed = mark.epoch;
+                self.confirmed_journal_epoch = mark.epoch;
                 self.start_journaled();
                 self.answer_recorded();
             }
-            // The group has another epoch by now, which the view shows soon.
+            // The group has a later epoch, which the next catalog view shows.
             CommandReply::Committed(_) => {}
             CommandReply::NoLeader | CommandReply::Unknown => {
-                self.propose(CatalogCommand::ConfirmJournal(mark), CONFIRM_PAUSE);
+                self.propose(CatalogCommand::ConfirmJournal(mark), CONFIRM_RETRY_PAUSE);
             }
         }
     }
 
-    /// Says whether every standby of the confirmed present epoch holds a journal entry.
+    /// Returns whether the present epoch is confirmed and every standby holds a journal entry.
     pub(super) fn is_journaled(&self, entry: u64) -> bool {
-        let confirmed = self.journal_confirmed == self.record.placement.epoch;
+        let confirmed = self.confirmed_journal_epoch == self.record.placement.epoch;
         let journal = self.journal.as_ref();
         confirmed && journal.is_some_and(|journal| journal.is_replicated(entry))
     }
 
-    /// Takes a standby's answer; one that did not answer is sent the same again after a tick.
-    pub(super) fn take_journal_report(&mut self, report: &JournalReport) {
-        self.appending.remove(&report.vm);
+    /// Handles a standby's answer to an append. Without an answer, the same entries are sent again.
+    pub(super) fn handle_journal_report(&mut self, report: &JournalReport) {
+        self.appends_in_flight.remove(&report.vm);
         let (Some(journal), Some(reply)) = (&mut self.journal, report.reply) else {
             return;
         };
@@ -216,7 +228,7 @@
         self.answer_recorded();
     }
 
-    /// Says whether a later leaseholder has read the journal, after which nothing may run here.
+    /// Returns whether a later leaseholder has read the journal, after which nothing may run here.
     pub(super) fn journal_is_deposed(&self) -> bool {
         self.journal.as_ref().is_some_and(GroupJournal::is_deposed)
     }
--- a/crates/daemon/src/group/mod.rs
+++ b/crates/daemon/src/group/mod.rs
@@ -1,8 +1,13 @@
-//! The leaseholder of one database group.
+//! Runs the leaseholder of one database group: the only task that may dispatch the group's
+//! statements and replace its primary.
 //!
-//! One task is the only owner of the group's connections, queue, journal and session positions.
-//! Callers' statements, endpoints' announcements and the reports of its child tasks reach it as
-//! messages; after each it lets the scheduler, the journal and the promotion say what is due.
+//! The task alone owns the group's connections, scheduler queue, journal and session positions.
+//! Statements, endpoint announcements and the reports of child tasks reach it as messages. After
+//! each batch of messages it polls the scheduler, starts a read round if reads wait for one, and
+//! replicates the journal to the standbys.
+//!
+//! A leaseholder may be frozen and superseded without noticing it, so the task checks its lease
+//! before it dispatches a statement and again before it releases an answer.
 
 mod confirming;
 mod describing;
@@ -91,34 +96,36 @@
 use tokio::time::interval;
 use tokio::time::sleep;
 
-/// The step in which waits, ages and silent endpoints are looked at.
-const TICK: Duration = Duration::from_millis(10);
+/// The interval of the periodic work: deadlines, data ages, silent endpoints, promotion and
+/// handover.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Events taken in before the scheduler is asked once for all of them.
-const EVENTS_AT_ONCE: usize = 64;
+/// The largest number of events that are handled before the scheduler is polled once for all of
+/// them.
+const MAX_EVENT_BATCH: usize = 64;
 
-/// What all leaseholders of a VM work with.
+/// The resources that all leaseholders of a VM share.
 pub struct GroupContext {
     /// The daemon's settings.
     pub settings: Arc<DaemonSettings>,
     /// The process's clock.
     pub clock: NodeClock,
-    /// Links to other VMs and to agents.
+    /// The connections to other VMs and to the agents of instances.
     pub links: PeerLinks,
-    /// Where the control VMs are.
+    /// The addresses of the control VMs.
     pub directory: ControlDirectory,
-    /// The journals that this VM holds as a standby.
+    /// The queue of the task that holds this VM's standby copies of journals.
     pub standby: mpsc::Sender<StandbyEvent>,
     /// The metrics.
     pub metrics: DaemonMetrics,
-    /// What the process may hold as connections to endpoints.
+    /// The budget of file descriptors for connections to endpoints.
     pub descriptors: DescriptorBudget,
-    /// The handovers that are due.
+    /// The planner of handovers to other VMs.
     pub handovers: HandoverPlanner,
 }
 
 impl GroupContext {
-    /// Returns what brings commands to the control VMs.
+    /// Returns a proposer that sends commands to the control VMs.
     pub(crate) fn proposer(&self) -> CommandProposer {
         CommandProposer {
             links: self.links.clone(),
@@ -128,51 +135,63 @@
     }
 }
 
-/// What a group's task is asked or told from outside.
+/// A message to a group's task from outside.
 #[derive(Debug)]
 pub enum GroupEvent {
-    /// A statement.
+    /// Runs a statement.
     Statement(Box<StatementRequest>, oneshot::Sender<StatementReply>),
-    /// A statement to describe without running it.
+    /// Describes a statement's parameters and columns without running it.
     Describe(Box<ShapeRequest>, oneshot::Sender<ShapeReply>),
     /// Cancels a statement.
     Cancel(StatementId),
-    /// An endpoint announces itself.
+    /// An endpoint's announcement of its addresses, capacity and status.
     Announced(Box<EndpointAnnouncement>),
-    /// The state, for operators.
+    /// Returns the group's state for an operator's dump.
     Dump(oneshot::Sender<serde_json::Value>),
 }
 
-/// A group's task.
+/// The state of a group's leaseholder task.
 pub(crate) struct GroupTask {
     context: Arc<GroupContext>,
     group: GroupName,
     record: GroupRecord,
+    /// The placement before the present one, whose VMs may hold a copy of the journal.
     previous: Option<GroupPlacement>,
     view: watch::Receiver<MemberView>,
+    /// Whether the group is being handed over, or its promotion state machine has stopped; only
+    /// statements of open transactions are admitted then.
     handing_over: bool,
     handover: HandoverState,
     scheduler: GroupScheduler,
     quorum: PositionQuorum,
+    /// The recovered journal; `None` until its copies have been collected.
     journal: Option<GroupJournal>,
-    journal_since: ClockTime,
-    /// The last epoch that this task has confirmed in the agreed log.
-    journal_confirmed: PlacementEpoch,
-    confirming: Option<PlacementEpoch>,
+    /// When the journal was recovered.
+    journal_recovered_at: ClockTime,
+    /// The last epoch whose journal this task has confirmed in the agreed log.
+    confirmed_journal_epoch: PlacementEpoch,
+    /// The epoch whose confirmation has been proposed.
+    confirming_epoch: Option<PlacementEpoch>,
     recovery: JournalRecovery,
-    appending: BTreeSet<VmName>,
+    /// The standbys that have not answered their last append yet.
+    appends_in_flight: BTreeSet<VmName>,
     pool: EndpointPool,
     promotion: PromotionDriver,
     requests: HashMap<RequestTicket, ActiveRequest>,
     shapes: HashMap<RequestTicket, ActiveShape>,
+    /// The tickets of statements and descriptions, by statement ID.
     tickets: HashMap<StatementId, RequestTicket>,
     transactions: HashMap<TransactionId, OpenTransaction>,
-    resends: HashMap<KeyedRequest, Vec<ResendWaiter>>,
-    writes: HashMap<WriteTicket, RequestTicket>,
-    watch: Option<PrimaryWatch>,
-    /// Since when the present term is served here.
+    /// The resends that wait for the verdict of a first attempt with the same key.
+    resend_waiters: HashMap<KeyedRequest, Vec<ResendWaiter>>,
+    /// The answered writes that wait for a majority.
+    unconfirmed_writes: HashMap<WriteTicket, RequestTicket>,
+    primary_watch: Option<PrimaryWatch>,
+    /// When this leaseholder began to serve the present term.
     serving_since: Option<ClockTime>,
-    round_running: Option<(RoundId, ClockTime)>,
+    /// The read round in progress and when it began.
+    running_round: Option<(RoundId, ClockTime)>,
+    /// The last read round that a majority has confirmed.
     confirmed_round: RoundId,
     last_ticket: u64,
     ticks: u64,
@@ -180,7 +199,7 @@
     children: JoinSet<()>,
 }
 
-/// Starts a group's task; it ends when the group is placed elsewhere or `events` is closed.
+/// Starts a group's task, which ends when the group is placed on another VM or `events` is closed.
 pub fn spawn_group(
     context: Arc<GroupContext>,
     record: GroupRecord,
@@ -214,21 +233,21 @@
         handover: HandoverState::default(),
         scheduler,
         journal: None,
-        journal_since: ClockTime::default(),
-        journal_confirmed: PlacementEpoch(0),
-        confirming: None,
+        journal_recovered_at: ClockTime::default(),
+        confirmed_journal_epoch: PlacementEpoch(0),
+        confirming_epoch: None,
         recovery: JournalRecovery::default(),
-        appending: BTreeSet::new(),
+        appends_in_flight: BTreeSet::new(),
         pool,
         requests: HashMap::new(),
         shapes: HashMap::new(),
         tickets: HashMap::new(),
         transactions: HashMap::new(),
-        resends: HashMap::new(),
-        writes: HashMap::new(),
-        watch: None,
+        resend_waiters: HashMap::new(),
+        unconfirmed_writes: HashMap::new(),
+        primary_watch: None,
         serving_since: None,
-        round_running: None,
+        running_round: None,
         confirmed_round: RoundId(0),
         last_ticket: 0,
         ticks: 0,
@@ -245,83 +264,85 @@
         mut notices: mpsc::Receiver<GroupNotice>,
         mut connections: mpsc::Receiver<ConnectionEvent>,
     ) {
-        self.follow_contracts();
+        self.apply_contracts();
         self.begin_recovery();
-        let mut ticker = interval(TICK);
+        let mut ticker = interval(TICK_INTERVAL);
         ticker.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut batch = Vec::with_capacity(EVENTS_AT_ONCE);
+        let mut batch = Vec::with_capacity(MAX_EVENT_BATCH);
         loop {
-            let wake = self.time_to_wake();
+            let wake = self.time_until_wakeup();
             tokio::select! {
-                count = events.recv_many(&mut batch, EVENTS_AT_ONCE) => {
+                count = events.recv_many(&mut batch, MAX_EVENT_BATCH) => {
                     if count == 0 {
                         break;
                     }
                     for event in batch.drain(..) {
-                        self.take_event(event);
+                        self.handle_event(event);
                     }
                 }
                 Some(event) = connections.recv() => {
-                    self.take_connection_event(event);
+                    self.handle_connection_event(event);
                     while let Ok(event) = connections.try_recv() {
-                        self.take_connection_event(event);
+                        self.handle_connection_event(event);
                     }
                 }
                 Some(notice) = notices.recv() => {
-                    self.take_notice(notice);
+                    self.handle_notice(notice);
                     while let Ok(notice) = notices.try_recv() {
-                        self.take_notice(notice);
+                        self.handle_notice(notice);
                     }
                 }
                 changed = self.view.changed() => {
-                    if changed.is_err() || !self.follow_view() {
+                    if changed.is_err() || !self.apply_view() {
                         break;
                     }
                 }
-                _ = ticker.tick() => self.take_tick(),
+                _ = ticker.tick() => self.handle_tick(),
                 () = sleep(wake) => {}
             }
-            self.follow_scheduler();
+            self.run_scheduler();
             self.begin_read_round();
             self.replicate_journal();
             self.confirm_journal();
-            self.pool.reap();
+            self.pool.join_ended_children();
             while self.children.try_join_next().is_some() {}
         }
         self.end(events).await;
     }
 
-    fn take_event(&mut self, event: GroupEvent) {
+    fn handle_event(&mut self, event: GroupEvent) {
         match event {
-            GroupEvent::Statement(request, reply) => self.take_statement(request, reply),
-            GroupEvent::Describe(request, reply) => self.take_describe(request, reply),
+            GroupEvent::Statement(request, reply) => self.handle_statement(request, reply),
+            GroupEvent::Describe(request, reply) => self.handle_describe(request, reply),
             GroupEvent::Cancel(id) => self.cancel(id),
-            GroupEvent::Announced(announcement) => self.take_announcement(*announcement),
+            GroupEvent::Announced(announcement) => self.handle_announcement(*announcement),
             GroupEvent::Dump(reply) => {
                 let _ = reply.send(self.dump());
             }
         }
     }
 
-    fn take_notice(&mut self, notice: GroupNotice) {
+    fn handle_notice(&mut self, notice: GroupNotice) {
         match notice {
-            GroupNotice::Agent(report) => self.take_agent_report(report),
-            GroupNotice::ReadRound(report) => self.take_round_report(report),
-            GroupNotice::Journal(report) => self.take_journal_report(&report),
-            GroupNotice::JournalCopy(vm, source) => self.take_journal_copy(&vm, source),
-            GroupNotice::Command(command, reply) => self.take_command_reply(*command, reply),
-            GroupNotice::Order(report) => self.take_order_report(report),
-            GroupNotice::Probe(report) => self.take_probe_report(&report),
-            GroupNotice::StandbyProbe(probe) => self.take_standby_probe(&probe),
+            GroupNotice::Agent(report) => self.handle_agent_report(report),
+            GroupNotice::ReadRound(report) => self.handle_round_report(report),
+            GroupNotice::Journal(report) => self.handle_journal_report(&report),
+            GroupNotice::JournalCopy(vm, source) => self.handle_journal_copy(&vm, source),
+            GroupNotice::Command(command, reply) => self.handle_command_reply(*command, reply),
+            GroupNotice::Order(report) => self.handle_order_report(report),
+            GroupNotice::Probe(report) => self.handle_probe_report(&report),
+            GroupNotice::StandbyProbe(probe) => self.handle_standby_probe(&probe),
         }
     }
 
-    fn take_announcement(&mut self, announcement: EndpointAnnouncement) {
+    /// Records an announcement and updates the scheduler if the endpoint is new, has moved, or has
+    /// begun or ceased to leave.
+    fn handle_announcement(&mut self, announcement: EndpointAnnouncement) {
         let instance = announcement.instance.clone();
         let leaving = announcement.status.leaving;
         let known = self.pool.endpoint(&instance);
         let left = known.is_some_and(|entry| entry.announcement.status.leaving != leaving);
-        if self.pool.take_announcement(announcement) || left {
+        if self.pool.record_announcement(announcement) || left {
             log_event!(
                 Level::Info,
                 "endpoint_announced",
@@ -333,7 +354,8 @@
         }
     }
 
-    /// Tells the scheduler what an endpoint may be used for now.
+    /// Passes an endpoint's present role, capacity and position to the scheduler, or removes it
+    /// there if it no longer announces itself.
     fn refresh_endpoint(&mut self, instance: &InstanceName) {
         let now = self.context.clock.now();
         let Some(entry) = self.pool.endpoint(instance) else {
@@ -353,6 +375,8 @@
         self.report_position(instance);
     }
 
+    /// Returns the role in which the scheduler may use an instance; an instance whose position is
+    /// unknown serves nothing.
     fn role_of(&self, instance: &InstanceName) -> EndpointRole {
         if !self.is_serving() {
             return EndpointRole::Unusable;
@@ -364,8 +388,9 @@
         }
     }
 
-    /// Returns who must answer on a connection that is meant for one of the group's instances.
-    fn identify(&self, instance: &InstanceName) -> InstanceIdentity {
+    /// Returns the identity that the peer must show on a connection to one of the group's
+    /// instances.
+    fn expected_identity(&self, instance: &InstanceName) -> InstanceIdentity {
         InstanceIdentity {
             group: self.group.clone(),
             instance: instance.clone(),
@@ -382,15 +407,16 @@
         }
     }
 
-    /// Says whether this VM may dispatch and answer for the group now.
+    /// Returns whether this VM's lease allows it to dispatch and answer for the group now.
     fn may_lead(&self, now: ClockTime) -> bool {
         let vm = &self.context.settings.vm;
         self.view.borrow().may_lead(now, vm, &self.group)
     }
 
-    /// Follows a change of this VM's view; false if the group is placed elsewhere.
-    fn follow_view(&mut self) -> bool {
-        self.follow_contracts();
+    /// Applies a change of this VM's catalog view; returns false if the group is placed on another
+    /// VM.
+    fn apply_view(&mut self) -> bool {
+        self.apply_contracts();
         let view = self.view.borrow_and_update().clone();
         let Some(record) = view.copy.group(&self.group).cloned() else {
             return true;
@@ -414,7 +440,8 @@
         true
     }
 
-    fn follow_contracts(&mut self) {
+    /// Passes the terms of the customers that use this group to the scheduler.
+    fn apply_contracts(&mut self) {
         let view = self.view.borrow();
         let here = view.copy.contracts().map(|held| &held.contract);
         let here = here.filter(|contract| contract.groups.contains(&self.group));
@@ -423,6 +450,7 @@
         self.scheduler.set_contracts(&terms);
     }
 
+    /// Returns the request kind that the customer's contract sets for unmarked statements.
     fn default_kind(&self, customer: &CustomerName) -> KindName {
         let view = self.view.borrow();
         let contract = view.copy.contract(customer);
@@ -432,12 +460,14 @@
         )
     }
 
-    fn time_to_wake(&self) -> Duration {
+    /// Returns the time until the scheduler must be polled again.
+    fn time_until_wakeup(&self) -> Duration {
         let now = self.context.clock.now();
         let wake = self.scheduler.next_wakeup(now);
-        wake.map_or(TICK, |wake| wake.since(now))
+        wake.map_or(TICK_INTERVAL, |wake| wake.since(now))
     }
 
+    /// Returns the group's state as it appears in an operator's dump.
     fn dump(&self) -> serde_json::Value {
         let now = self.context.clock.now();
         let statuses = self.record.instances.iter().map(|instance| {
@@ -457,13 +487,13 @@
             "scheduler": self.scheduler.snapshot(now),
             "requests": self.requests.len(),
             "transactions": self.transactions.len(),
-            "writes_waiting": self.writes.len(),
+            "writes_waiting": self.unconfirmed_writes.len(),
             "connections": self.pool.count_by_instance(),
             "instances": statuses.collect::<serde_json::Map<_, _>>(),
         })
     }
 
-    /// Answers what is left, closes the connections and joins all children.
+    /// Settles all remaining requests, closes the connections and joins all child tasks.
     async fn end(mut self, mut queue: mpsc::Receiver<GroupEvent>) {
         refuse_queue(&self.group, &mut queue).await;
         let tickets: Vec<RequestTicket> = self.requests.keys().copied().collect();
@@ -477,6 +507,8 @@
         self.pool.shut_down().await;
     }
 
+    /// Returns the verdict of a request that is open when the task ends: refused if nothing was
+    /// sent to an endpoint, in doubt otherwise.
     fn verdict_at_end(&self, ticket: RequestTicket) -> RequestVerdict {
         let stage = self.requests.get(&ticket).map(|active| &active.stage);
         match stage {
--- a/crates/daemon/src/group/notice.rs
+++ b/crates/daemon/src/group/notice.rs
@@ -1,4 +1,4 @@
-//! What a group's child tasks report to its leaseholder.
+//! The reports that a group's child tasks send to its leaseholder.
 
 use ragwort_control::AgentOutcome;
 use ragwort_control::ClockTime;
@@ -18,21 +18,21 @@
 /// A report of a child task.
 #[derive(Debug)]
 pub enum GroupNotice {
-    /// An agent answered, or did not.
+    /// An agent's answer to a status request, or the lack of one.
     Agent(AgentReport),
-    /// An instance was asked for its term after a round of reads began.
+    /// An instance's answer in a read round, or the lack of one.
     ReadRound(RoundReport),
-    /// A standby answered to journal entries, or did not.
+    /// A standby's answer to journal entries, or the lack of one.
     Journal(JournalReport),
-    /// A VM handed over its copy of the journal, or did not.
+    /// A VM's copy of the journal; `None` if it did not answer.
     JournalCopy(VmName, Option<JournalSource>),
-    /// A catalog command was answered.
+    /// A catalog command and its outcome.
     Command(Box<CatalogCommand>, CommandReply),
-    /// An agent answered to a fence, a promotion or an order to follow, or did not.
+    /// An agent's answer to an order to fence, promote or follow, or the lack of one.
     Order(OrderReport),
-    /// A probe of the primary ended.
+    /// The outcome of a probe of the primary.
     Probe(ProbeReport),
-    /// A standby says whether it reaches the primary.
+    /// A standby's report whether it reaches the primary.
     StandbyProbe(StandbyProbe),
 }
 
@@ -42,12 +42,12 @@
     /// The instance.
     pub instance: InstanceName,
     /// When the request was sent.
-    pub asked: ClockTime,
+    pub sent_at: ClockTime,
     /// The answer; `None` if there was none in time.
     pub status: Option<InstanceStatus>,
 }
 
-/// An instance's answer in a round of reads.
+/// An instance's answer in a read round.
 #[derive(Debug)]
 pub struct RoundReport {
     /// The round.
@@ -55,7 +55,7 @@
     /// The instance.
     pub instance: InstanceName,
     /// When the request was sent.
-    pub asked: ClockTime,
+    pub sent_at: ClockTime,
     /// The answer; `None` if there was none in time.
     pub status: Option<InstanceStatus>,
 }
@@ -71,14 +71,14 @@
     pub reply: Option<JournalReply>,
 }
 
-/// What an agent was ordered to do.
+/// An order to an instance's agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AgentOrder {
-    /// To refuse earlier terms.
+    /// Refuse earlier terms.
     Fence,
-    /// To become the primary.
+    /// Become the primary.
     Promote,
-    /// To follow the primary.
+    /// Replicate from the primary.
     Follow,
 }
 
@@ -91,30 +91,30 @@
     pub instance: InstanceName,
     /// The term of the order.
     pub term: GroupTerm,
-    /// What became of it.
+    /// The outcome.
     pub outcome: AgentOutcome,
 }
 
-/// What became of a probe of the primary.
+/// The outcome of a probe of the primary.
 #[derive(Debug)]
 pub struct ProbeReport {
     /// The probed instance.
     pub instance: InstanceName,
-    /// Which connection the probe went through.
+    /// The kind of connection that the probe used.
     pub view: ProbeView,
-    /// What became of it so far.
+    /// The outcome so far.
     pub outcome: ProbeOutcome,
 }
 
-/// A standby's view of the primary.
+/// A standby's report whether it reaches the primary.
 #[derive(Debug)]
 pub struct StandbyProbe {
     /// The probed instance.
     pub instance: InstanceName,
     /// The standby.
     pub vm: VmName,
-    /// When it was asked.
-    pub asked: ClockTime,
+    /// When the request was sent.
+    pub sent_at: ClockTime,
     /// Whether it reaches the instance.
     pub reachable: bool,
 }
--- a/crates/daemon/src/group/outcomes.rs
+++ b/crates/daemon/src/group/outcomes.rs
@@ -1,4 +1,5 @@
-//! Takes what connections report: ends of statements, lost connections, and the transactions on them.
+//! Handles the events of connections: outcomes of statements, lost connections, and the
+//! transactions that are pinned to them.
 
 use super::GroupTask;
 use super::request::OpenTransaction;
@@ -22,8 +23,8 @@
 use ragwort_types::TransactionStep;
 
 impl GroupTask {
-    /// Takes a connection's event.
-    pub(super) fn take_connection_event(&mut self, event: ConnectionEvent) {
+    /// Handles a connection's event.
+    pub(super) fn handle_connection_event(&mut self, event: ConnectionEvent) {
         match event.change {
             ConnectionChange::Opened => {
                 if let Some(connection) = self.pool.connection(event.id) {
@@ -33,31 +34,34 @@
                 }
             }
             ConnectionChange::Finished(id, outcome) => {
-                self.take_outcome(event.id, id, outcome);
-                self.forget_spent(event.id);
+                self.handle_run_outcome(event.id, id, outcome);
+                self.drop_unusable_connection(event.id);
             }
             ConnectionChange::Described(id, outcome) => {
-                self.free_described(event.id, &outcome);
-                self.take_described(id, outcome);
-                self.forget_spent(event.id);
+                self.release_described_connection(event.id, &outcome);
+                self.handle_described(id, outcome);
+                self.drop_unusable_connection(event.id);
             }
-            ConnectionChange::Proven => self.take_proof(event.id),
-            ConnectionChange::Closed => self.take_closed(event.id),
+            ConnectionChange::Proven => self.handle_ping_answer(event.id),
+            ConnectionChange::Closed => self.handle_closed(event.id),
         }
     }
 
-    /// Forgets a connection that takes no further statement, before its task says that it closed.
+    /// Removes a connection that takes no further statement before its task reports that it has
+    /// closed.
     ///
-    /// The scheduler would count it as idle until then, and dispatch waiting requests on it one
-    /// after the other. Each would be given back, and refused when it has no attempt left.
-    fn forget_spent(&mut self, id: ConnectionId) {
-        let spent = self.pool.connection(id).is_some_and(|held| held.spent);
-        if spent {
-            self.take_closed(id);
+    /// Until then the scheduler would count it as idle and dispatch queued requests to it one after
+    /// another. Each would be returned, and refused when it has no attempts left.
+    fn drop_unusable_connection(&mut self, id: ConnectionId) {
+        let unusable = self.pool.connection(id).is_some_and(|held| held.unusable);
+        if unusable {
+            self.handle_closed(id);
         }
     }
 
-    fn take_closed(&mut self, id: ConnectionId) {
+    /// Removes a closed connection, settles the request that ran on it, and reports the loss to the
+    /// scheduler.
+    fn handle_closed(&mut self, id: ConnectionId) {
         let Some(connection) = self.pool.remove_connection(id) else {
             return;
         };
@@ -67,88 +71,100 @@
         }
         match connection.running {
             Some(ticket) if self.is_shape(ticket) => {
-                self.give_shape_back(ticket, FinishOutcome::Lost);
+                self.return_shape(ticket, FinishOutcome::Lost);
             }
-            Some(ticket) => self.take_lost(ticket, DoubtCause::EndpointLost),
+            Some(ticket) => self.handle_lost_answer(ticket, DoubtCause::EndpointLost),
             None => {}
         }
         if connection.retired {
             return;
         }
-        if connection.doubted {
+        if connection.awaiting_ping {
             self.scheduler.doubt_ended(&connection.instance);
         }
         if connection.open {
             self.scheduler.connection_closed(&connection.instance);
-            // A connection that is closed after its end was reported tells nothing new.
-            if !connection.spent {
-                self.doubt_connections(&connection.instance);
+            // If the connection had been marked unusable, the cause was reported before, and its
+            // end says nothing new about the other connections.
+            if !connection.unusable {
+                self.ping_idle_connections(&connection.instance);
             }
         } else {
             self.scheduler.connection_failed(now, &connection.instance);
         }
     }
 
-    fn take_outcome(&mut self, id: ConnectionId, statement: StatementId, outcome: RunOutcome) {
+    /// Handles the outcome of a statement. A connection whose statement had any outcome but an
+    /// answer or a refusal is not used again.
+    fn handle_run_outcome(
+        &mut self,
+        id: ConnectionId,
+        statement: StatementId,
+        outcome: RunOutcome,
+    ) {
         let Some(connection) = self.pool.connection(id) else {
             return;
         };
         let instance = connection.instance.clone();
         let ticket = connection.running.take();
-        connection.spent |= !matches!(outcome, RunOutcome::Answered(..) | RunOutcome::Refused(_));
+        connection.unusable |=
+            !matches!(outcome, RunOutcome::Answered(..) | RunOutcome::Refused(_));
         let Some(ticket) = ticket.filter(|ticket| self.tickets.get(&statement) == Some(ticket))
         else {
             return;
         };
         match outcome {
             RunOutcome::Answered(answer, position) => {
-                self.take_answer(ticket, id, &instance, answer, position);
+                self.handle_answer(ticket, id, &instance, answer, position);
             }
             RunOutcome::Refused(_) => {
-                self.give_back(ticket, FinishOutcome::NotRun, RefusalCause::EndpointRefused);
+                self.return_request(ticket, FinishOutcome::NotRun, RefusalCause::EndpointRefused);
             }
             RunOutcome::NotSent => {
-                self.give_back(
+                self.return_request(
                     ticket,
                     FinishOutcome::NotSent,
                     RefusalCause::EndpointRefused,
                 );
             }
             RunOutcome::Lost => {
-                self.doubt_connections(&instance);
-                self.take_lost(ticket, DoubtCause::EndpointLost);
+                self.ping_idle_connections(&instance);
+                self.handle_lost_answer(ticket, DoubtCause::EndpointLost);
             }
             RunOutcome::Silent => {
-                self.doubt_connections(&instance);
-                self.take_lost(ticket, DoubtCause::EndpointSilent);
+                self.ping_idle_connections(&instance);
+                self.handle_lost_answer(ticket, DoubtCause::EndpointSilent);
             }
-            RunOutcome::Mismatch => self.take_lost(ticket, DoubtCause::AnswerMismatch),
+            RunOutcome::Mismatch => self.handle_lost_answer(ticket, DoubtCause::AnswerMismatch),
         }
     }
 
-    /// Lets a connection that answered its ping take work again.
-    fn take_proof(&mut self, id: ConnectionId) {
+    /// Lets a connection that answered its ping take statements again.
+    fn handle_ping_answer(&mut self, id: ConnectionId) {
         if let Some(connection) = self.pool.connection(id)
-            && std::mem::take(&mut connection.doubted)
+            && std::mem::take(&mut connection.awaiting_ping)
         {
             let instance = connection.instance.clone();
             self.scheduler.doubt_ended(&instance);
         }
     }
 
-    /// Keeps work away from an instance's idle connections until they have answered a ping.
-    pub(super) fn doubt_connections(&mut self, instance: &InstanceName) {
-        for _ in 0..self.pool.doubt_idle(instance) {
+    /// Pings an instance's idle connections and keeps statements away from them until they have
+    /// answered.
+    pub(super) fn ping_idle_connections(&mut self, instance: &InstanceName) {
+        for _ in 0..self.pool.ping_idle(instance) {
             self.scheduler.connection_doubted(instance);
         }
     }
 
+    /// Returns a request's place in its transaction.
     pub(super) fn step_of(&self, ticket: RequestTicket) -> Option<TransactionStep> {
         self.requests.get(&ticket).map(|active| active.request.step)
     }
 
-    /// Deals with a request whose answer was lost after it was sent.
-    pub(super) fn take_lost(&mut self, ticket: RequestTicket, cause: DoubtCause) {
+    /// Settles a request whose answer was lost after it was sent, unless the scheduler may run it
+    /// again.
+    pub(super) fn handle_lost_answer(&mut self, ticket: RequestTicket, cause: DoubtCause) {
         let Some(active) = self.requests.get_mut(&ticket) else {
             return;
         };
@@ -167,7 +183,7 @@
             TransactionStep::Single | TransactionStep::Commit(_) => {
                 RequestVerdict::MayHaveRun(cause)
             }
-            // Nothing of a transaction lasts that was not asked to commit.
+            // A transaction that was not asked to commit has no lasting effect.
             TransactionStep::Begin(_)
             | TransactionStep::Within(_)
             | TransactionStep::Rollback(_) => {
@@ -177,7 +193,9 @@
         self.settle(ticket, verdict);
     }
 
-    pub(super) fn take_answer(
+    /// Handles an endpoint's answer: a successful write waits for a majority, a fresh read for its
+    /// read round, and anything else is answered at once.
+    pub(super) fn handle_answer(
         &mut self,
         ticket: RequestTicket,
         connection: ConnectionId,
@@ -192,9 +210,9 @@
             return;
         };
         let (step, dispatched) = (active.request.step, active.dispatched);
-        self.follow_transaction(step, ticket, connection, &answer);
+        self.track_transaction(step, ticket, connection, &answer);
         if let Some(position) = position {
-            self.note_primary_answer(dispatched, instance, position);
+            self.record_primary_position(dispatched, instance, position);
         }
         let Some(active) = self.requests.get_mut(&ticket) else {
             return;
@@ -220,11 +238,11 @@
             return;
         }
         active.answer = Some((verdict, served));
-        self.answer_now(ticket);
+        self.send_answer(ticket);
     }
 
-    /// Pins, keeps or frees the connection of a transaction after one of its statements.
-    fn follow_transaction(
+    /// Pins, keeps or releases a transaction's connection after one of its statements.
+    fn track_transaction(
         &mut self,
         step: TransactionStep,
         ticket: RequestTicket,
@@ -265,7 +283,7 @@
         }
     }
 
-    /// Forgets a transaction and closes its connection, so that the endpoint rolls it back.
+    /// Removes a transaction and closes its connection, so that the endpoint rolls it back.
     pub(super) fn end_transaction(&mut self, id: TransactionId) {
         let Some(open) = self.transactions.remove(&id) else {
             return;
@@ -280,7 +298,7 @@
     }
 }
 
-/// Returns the transaction that a step finds open; the opening step finds none.
+/// Returns the open transaction that a step belongs to; `None` for a step that opens one.
 pub(super) fn pinned_transaction(step: TransactionStep) -> Option<TransactionId> {
     match step {
         TransactionStep::Single | TransactionStep::Begin(_) => None,
--- a/crates/daemon/src/group/pool.rs
+++ b/crates/daemon/src/group/pool.rs
@@ -1,4 +1,5 @@
-//! A group's endpoints as its leaseholder uses them: announcements, agents and connections.
+//! The endpoints of a group that announce themselves to its leaseholder, with the connections to
+//! them and the tasks that watch their agents.
 
 use super::GroupContext;
 use super::notice::AgentReport;
@@ -29,23 +30,24 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// How long an agent holds a call that waits for a change. Each return is also a sign of life.
-const WATCH_HOLD: Duration = Duration::from_millis(400);
+/// How long an agent holds a status request open while nothing changes (long polling). Each return
+/// also shows that the agent is alive.
+const LONG_POLL_HOLD: Duration = Duration::from_millis(400);
 
-/// The pause after an agent did not answer.
-const WATCH_PAUSE: Duration = Duration::from_millis(50);
+/// The pause before an agent that did not answer is asked again.
+const AGENT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// How many times a probe's time a connection may take to answer a ping. A connection that is
-/// closed for nothing costs 12 ms; a statement that waits behind a lost ping may miss its deadline.
-const PING_PROBES: u32 = 2;
+/// The ping timeout of a connection, as a multiple of the probe timeout. Closing a working
+/// connection costs 12 ms; a statement that waits behind a lost ping may miss its deadline.
+const PING_TIMEOUT_PROBES: u32 = 2;
 
 /// An endpoint that announces itself.
 #[derive(Debug)]
 pub struct EndpointEntry {
-    /// What it last said of itself.
+    /// Its last announcement.
     pub announcement: EndpointAnnouncement,
-    /// When it said so.
-    pub heard: ClockTime,
+    /// When the last announcement arrived.
+    pub announced_at: ClockTime,
     watcher: AbortHandle,
     _hold: DescriptorHold,
 }
@@ -53,44 +55,46 @@
 /// A connection in the pool.
 #[derive(Debug)]
 pub struct PoolConnection {
-    /// The instance it leads to.
+    /// The instance that it connects to.
     pub instance: InstanceName,
-    /// Whether it is open yet.
+    /// Whether it has been established.
     pub open: bool,
     /// The request that runs on it.
     pub running: Option<RequestTicket>,
-    /// The transaction that holds it.
+    /// The transaction that it is pinned to.
     pub pinned: Option<TransactionId>,
-    /// Whether it takes no further statement: it owes an answer, or a cancel was sent on it.
-    pub spent: bool,
-    /// Whether it has to prove that it still answers before it takes another statement.
-    pub doubted: bool,
-    /// Whether its endpoint was taken out of use since: the scheduler counts it no more.
+    /// Whether it takes no further statement, because an answer is outstanding or a cancel was sent
+    /// on it.
+    pub unusable: bool,
+    /// Whether a ping must be answered before it takes another statement.
+    pub awaiting_ping: bool,
+    /// Whether its endpoint has been removed; the scheduler no longer counts the connection.
     pub retired: bool,
     orders: mpsc::Sender<ConnectionOrder>,
 }
 
 impl PoolConnection {
     fn is_idle(&self) -> bool {
-        let taken = self.running.is_some() || self.pinned.is_some();
-        self.open && !self.spent && !self.doubted && !taken
+        let in_use = self.running.is_some() || self.pinned.is_some();
+        self.open && !self.unusable && !self.awaiting_ping && !in_use
     }
 
-    /// Hands an order to the connection's task and says whether it was taken.
+    /// Sends an order to the connection's task and returns whether it was accepted.
     pub fn send(&self, order: ConnectionOrder) -> bool {
         self.orders.try_send(order).is_ok()
     }
 }
 
-/// The endpoints and connections of one group.
+/// The endpoints of one group and the connections to them.
 pub struct EndpointPool {
     context: Arc<GroupContext>,
     group: GroupName,
     notices: mpsc::Sender<GroupNotice>,
     events: mpsc::Sender<ConnectionEvent>,
     endpoints: BTreeMap<InstanceName, EndpointEntry>,
-    last_heard: BTreeMap<InstanceName, ClockTime>,
-    born: ClockTime,
+    /// When each instance last announced itself, also after its endpoint was removed.
+    last_announced: BTreeMap<InstanceName, ClockTime>,
+    created_at: ClockTime,
     connections: BTreeMap<ConnectionId, PoolConnection>,
     next_id: u64,
     children: JoinSet<()>,
@@ -105,30 +109,30 @@
         events: mpsc::Sender<ConnectionEvent>,
     ) -> Self {
         Self {
-            born: context.clock.now(),
+            created_at: context.clock.now(),
             context,
             group,
             notices,
             events,
             endpoints: BTreeMap::new(),
-            last_heard: BTreeMap::new(),
+            last_announced: BTreeMap::new(),
             connections: BTreeMap::new(),
             next_id: 0,
             children: JoinSet::new(),
         }
     }
 
-    /// Takes an announcement and says whether the endpoint is new or has moved.
-    pub fn take_announcement(&mut self, announcement: EndpointAnnouncement) -> bool {
-        let heard = self.context.clock.now();
+    /// Records an announcement and returns whether the endpoint is new or has moved.
+    pub fn record_announcement(&mut self, announcement: EndpointAnnouncement) -> bool {
+        let announced_at = self.context.clock.now();
         let instance = announcement.instance.clone();
-        self.last_heard.insert(instance.clone(), heard);
+        self.last_announced.insert(instance.clone(), announced_at);
         if let Some(entry) = self.endpoints.get_mut(&instance)
             && entry.announcement.agent_address == announcement.agent_address
             && entry.announcement.data_address == announcement.data_address
         {
             entry.announcement = announcement;
-            entry.heard = heard;
+            entry.announced_at = announced_at;
             return false;
         }
         self.remove_endpoint(&instance);
@@ -145,7 +149,7 @@
         let watcher = self.children.spawn(watch);
         let entry = EndpointEntry {
             announcement,
-            heard,
+            announced_at,
             watcher,
             _hold: self.context.descriptors.serve_endpoint(),
         };
@@ -163,19 +167,19 @@
         self.endpoints.values()
     }
 
-    /// Returns how long an instance has not announced itself to this leaseholder.
+    /// Returns the time since an instance last announced itself, or since this pool was created.
     pub fn silent_for(&self, instance: &InstanceName, now: ClockTime) -> Duration {
-        let last = self.last_heard.get(instance).copied();
-        now.since(last.unwrap_or(self.born))
+        let last = self.last_announced.get(instance).copied();
+        now.since(last.unwrap_or(self.created_at))
     }
 
-    /// Removes endpoints that have not announced themselves for `limit`.
+    /// Removes and returns the endpoints that have not announced themselves for `limit`.
     pub fn remove_silent(&mut self, limit: Duration) -> Vec<InstanceName> {
         let now = self.context.clock.now();
         let silent = self
             .endpoints
             .iter()
-            .filter(|(_, entry)| now.since(entry.heard) >= limit);
+            .filter(|(_, entry)| now.since(entry.announced_at) >= limit);
         let silent: Vec<InstanceName> = silent.map(|(instance, _)| instance.clone()).collect();
         for instance in &silent {
             self.remove_endpoint(instance);
@@ -189,7 +193,8 @@
         }
     }
 
-    /// Starts to open a connection to an instance; its event tells how that ended.
+    /// Starts to open a connection to an instance; an event reports the result. Returns false if
+    /// the instance has no endpoint.
     pub fn open_connection(&mut self, instance: &InstanceName) -> bool {
         let Some(entry) = self.endpoints.get(instance) else {
             return false;
@@ -204,12 +209,12 @@
             instance: instance.clone(),
             connect_timeout: Duration::from_millis(timing.connect_timeout_ms),
             idle_ping: Duration::from_millis(timing.idle_ping_ms),
-            ping_timeout: Duration::from_millis(timing.probe_timeout_ms) * PING_PROBES,
+            ping_timeout: Duration::from_millis(timing.probe_timeout_ms) * PING_TIMEOUT_PROBES,
         };
         let hold = self.context.descriptors.hold(DescriptorUse::Endpoints);
         let (orders, task) = spawn_connection(target, self.events.clone());
         self.children.spawn(async move {
-            // A task that panicked has logged that itself.
+            // The panic hook has logged a task's panic.
             let _ = task.await;
             drop(hold);
         });
@@ -218,8 +223,8 @@
             open: false,
             running: None,
             pinned: None,
-            spent: false,
-            doubted: false,
+            unusable: false,
+            awaiting_ping: false,
             retired: false,
             orders,
         };
@@ -227,21 +232,21 @@
         true
     }
 
-    /// Finds an idle connection to an instance: the one used last, so that the others can idle out.
+    /// Returns the newest idle connection to an instance, so that older ones can time out as idle.
     pub fn find_idle(&self, instance: &InstanceName) -> Option<ConnectionId> {
         let mut newest_first = self.connections.iter().rev();
         let found = newest_first.find(|(_, one)| one.instance == *instance && one.is_idle());
         found.map(|(id, _)| *id)
     }
 
-    /// Finds the connection that a transaction holds.
+    /// Returns the connection that a transaction is pinned to.
     pub fn find_pinned(&self, transaction: TransactionId) -> Option<ConnectionId> {
         let mut connections = self.connections.iter();
         let found = connections.find(|(_, one)| one.pinned == Some(transaction));
         found.map(|(id, _)| *id)
     }
 
-    /// Says whether a statement runs on a connection.
+    /// Returns whether a statement runs on a connection.
     pub fn is_running(&self, id: ConnectionId) -> bool {
         let connection = self.connections.get(&id);
         connection.is_some_and(|one| one.running.is_some())
@@ -252,21 +257,21 @@
         self.connections.get_mut(&id)
     }
 
-    /// Forgets a connection; its task ends once its statement has ended.
+    /// Removes a connection; its task ends when its statement has ended.
     pub fn remove_connection(&mut self, id: ConnectionId) -> Option<PoolConnection> {
         self.connections.remove(&id)
     }
 
-    /// Closes an instance's connections, those with a running statement once it has ended, and
-    /// returns the transactions that lose theirs at once.
+    /// Closes an instance's connections, a busy one when its statement has ended, and returns the
+    /// transactions that lose their connection at once.
     ///
-    /// If they stayed, an endpoint whose announcements come and go would hold the connections of
-    /// each time until it had no room left.
+    /// Otherwise an endpoint that is repeatedly lost and announced again would accumulate
+    /// connections until it reaches its limit.
     pub fn retire_connections(&mut self, instance: &InstanceName) -> Vec<TransactionId> {
         let own = |one: &PoolConnection| one.instance == *instance;
         for connection in self.connections.values_mut().filter(|one| own(one)) {
             connection.retired = true;
-            connection.spent = true;
+            connection.unusable = true;
         }
         let idle = self
             .connections
@@ -275,17 +280,16 @@
             .collect()
     }
 
-    /// Makes every idle connection to an instance prove that it still answers, and returns how many
-    /// there are.
+    /// Pings every idle connection to an instance and returns how many were pinged.
     ///
-    /// One silent connection suggests that something on the path has forgotten them all; the
-    /// caller's next statements would otherwise find that out one by one.
-    pub fn doubt_idle(&mut self, instance: &InstanceName) -> usize {
+    /// One silent connection suggests that a device on the path has dropped the state of them all,
+    /// which the next statements would otherwise discover one by one.
+    pub fn ping_idle(&mut self, instance: &InstanceName) -> usize {
         let all = self.connections.values_mut();
         let mut count = 0;
         for connection in all.filter(|one| one.instance == *instance && one.is_idle()) {
             if connection.send(ConnectionOrder::Ping) {
-                connection.doubted = true;
+                connection.awaiting_ping = true;
                 count += 1;
             }
         }
@@ -297,7 +301,7 @@
         self.connections.len()
     }
 
-    /// Counts connections by instance, for dumps.
+    /// Returns the number of connections to each instance, for dumps.
     pub fn count_by_instance(&self) -> BTreeMap<String, usize> {
         let mut counts = BTreeMap::new();
         for connection in self.connections.values() {
@@ -306,12 +310,12 @@
         counts
     }
 
-    /// Joins children that have ended.
-    pub fn reap(&mut self) {
+    /// Joins the child tasks that have ended.
+    pub fn join_ended_children(&mut self) {
         while self.children.try_join_next().is_some() {}
     }
 
-    /// Closes everything and joins all children.
+    /// Closes all connections and joins all child tasks.
     pub async fn shut_down(&mut self) {
         self.connections.clear();
         self.endpoints.clear();
@@ -319,11 +323,11 @@
     }
 }
 
-/// Reports an agent's every change, and its silence, until the task is ended.
+/// Reports every change of an agent's status, and its silence, until the task is aborted.
 ///
-/// The first question, and the first one after a silence, is answered at once. If it were held like the
-/// others, nothing would be known of the instance for [`WATCH_HOLD`] after each takeover: replicas would
-/// serve no reads meanwhile, and what is known then would be as old as the hold.
+/// The first request, and the first one after a silence, is answered at once. If the agent held it
+/// open like the others, nothing would be known of the instance for [`LONG_POLL_HOLD`] after each
+/// takeover: replicas would serve no reads, and the status would then be as old as the hold.
 async fn watch_agent(
     context: Arc<GroupContext>,
     identity: InstanceIdentity,
@@ -331,22 +335,22 @@
     notices: mpsc::Sender<GroupNotice>,
 ) {
     let mut known: Option<InstanceStatus> = None;
-    let hold_ms = WATCH_HOLD.as_millis() as u64;
+    let hold_ms = LONG_POLL_HOLD.as_millis() as u64;
     let grace = Duration::from_millis(context.settings.timing.probe_timeout_ms);
     loop {
-        let asked = context.clock.now();
+        let sent_at = context.clock.now();
         let call = |client: Arc<WsClient>| async move {
             match known {
                 Some(known) => client.wait_change(known, hold_ms).await,
                 None => client.status().await,
             }
         };
-        let limit = WATCH_HOLD + grace;
+        let limit = LONG_POLL_HOLD + grace;
         let status = context.links.call_instance(address, &identity, limit, call);
         let status = status.await.ok();
         let report = AgentReport {
             instance: identity.instance.clone(),
-            asked,
+            sent_at,
             status,
         };
         if notices.send(GroupNotice::Agent(report)).await.is_err() {
@@ -354,7 +358,7 @@
         }
         known = status;
         if status.is_none() {
-            sleep(WATCH_PAUSE).await;
+            sleep(AGENT_RETRY_PAUSE).await;
         }
     }
 }
--- a/crates/daemon/src/group/probing.rs
+++ b/crates/daemon/src/group/probing.rs
@@ -1,6 +1,9 @@
-//! Tells a dead primary from a slow one, or from a connection that has gone silent.
+//! Detects a failed primary and distinguishes it from a slow one and from a connection that went
+//! silent.
 //!
-//! The detector decides; this module sends its probes and brings the answers back.
+//! The [`PrimaryDetector`] decides. This module sends the probes that it asks for (on an open
+//! connection, on a new connection, and from the standbys), reports the results back, and acts on
+//! the verdict: it replaces connections, hands the group over to a standby, or starts a promotion.
 
 use super::GroupTask;
 use super::notice::AgentReport;
@@ -26,11 +29,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long the answer to a probe is waited for at most. A late answer still shows that the primary
-/// lives, so the wait is longer than the detector's patience with a hung one.
-const LATE_ANSWER: Duration = Duration::from_millis(1_200);
+/// The time limit of a probe's answer. A late answer still shows that the primary is alive, so the
+/// limit is longer than the detector waits for a primary that hangs.
+const PROBE_ANSWER_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// The detector of the present primary.
+/// The failure detector of the present primary.
 #[derive(Debug)]
 pub(super) struct PrimaryWatch {
     instance: InstanceName,
@@ -38,8 +41,8 @@
 }
 
 impl GroupTask {
-    /// Takes an agent's report.
-    pub(super) fn take_agent_report(&mut self, report: AgentReport) {
+    /// Handles an agent's report; one from the primary also counts as an answered probe.
+    pub(super) fn handle_agent_report(&mut self, report: AgentReport) {
         match report.status {
             Some(status) => {
                 if self.record.primary.as_ref() == Some(&report.instance) {
@@ -49,16 +52,16 @@
                         ProbeOutcome::Answered,
                     );
                 }
-                self.take_status(&report.instance, report.asked, status);
+                self.handle_status(&report.instance, report.sent_at, status);
             }
             None => self.quorum.forget(&report.instance),
         }
     }
 
-    /// Probes the primary as the detector asks, and follows its verdict.
+    /// Sends the probes that the detector asks for, and applies its verdict.
     pub(super) fn tick_detector(&mut self) {
         if !self.is_serving() || !self.may_act() {
-            self.watch = None;
+            self.primary_watch = None;
             return;
         }
         let Some(primary) = self.record.primary.clone() else {
@@ -66,29 +69,30 @@
         };
         let now = self.context.clock.now();
         let known = self
-            .watch
+            .primary_watch
             .as_ref()
             .is_some_and(|watch| watch.instance == primary);
         if !known {
             let detector = PrimaryDetector::new(now, &self.record.placement.standbys);
-            self.watch = Some(PrimaryWatch {
+            self.primary_watch = Some(PrimaryWatch {
                 instance: primary.clone(),
                 detector,
             });
         }
-        let actions = match &mut self.watch {
+        let actions = match &mut self.primary_watch {
             Some(watch) => watch.detector.tick(now),
             None => return,
         };
         for action in actions {
             self.send_probe(&primary, action);
         }
-        self.follow_verdict(&primary);
+        self.apply_verdict(&primary);
     }
 
-    fn follow_verdict(&mut self, primary: &InstanceName) {
+    /// Acts on the detector's verdict about the primary.
+    fn apply_verdict(&mut self, primary: &InstanceName) {
         let now = self.context.clock.now();
-        let Some(watch) = &self.watch else {
+        let Some(watch) = &self.primary_watch else {
             return;
         };
         match watch.detector.verdict(now) {
@@ -107,13 +111,14 @@
                     unheard = grounds.unheard.len(),
                 );
                 let micros = now.0.saturating_sub(grounds.silent_for.as_micros() as u64);
-                self.watch = None;
+                self.primary_watch = None;
                 self.suspect_primary(ClockTime(micros));
             }
         }
     }
 
-    /// Replaces everything that is open to the primary: something on the path has forgotten it.
+    /// Replaces all open connections to the primary, because a device on the path seems to have
+    /// dropped their state.
     fn reopen_connections(&mut self, primary: &InstanceName) {
         log_event!(
             Level::Warn,
@@ -121,14 +126,14 @@
             group = self.group,
             instance = primary,
         );
-        self.doubt_connections(primary);
+        self.ping_idle_connections(primary);
         if let Some(entry) = self.pool.endpoint(primary) {
             let address = entry.announcement.agent_address;
             let links = self.context.links.clone();
             self.children
                 .spawn(async move { links.reopen(address).await });
         }
-        self.watch = None;
+        self.primary_watch = None;
     }
 
     fn send_probe(&mut self, primary: &InstanceName, action: DetectorAction) {
@@ -143,14 +148,15 @@
         }
     }
 
+    /// Probes the primary on the open connection to its agent.
     fn probe_open(&mut self, primary: &InstanceName, address: SocketAddr) {
         let links = self.context.links.clone();
         let notices = self.notices.clone();
         let instance = primary.clone();
-        let expected = self.identify(primary);
+        let expected = self.expected_identity(primary);
         self.children.spawn(async move {
             let call = |client: Arc<WsClient>| async move { client.status().await };
-            let answer = links.call_instance(address, &expected, LATE_ANSWER, call);
+            let answer = links.call_instance(address, &expected, PROBE_ANSWER_TIMEOUT, call);
             let outcome = match answer.await {
                 Ok(_) => ProbeOutcome::Answered,
                 Err(LinkError::Unreachable) => ProbeOutcome::Refused,
@@ -166,12 +172,14 @@
         });
     }
 
+    /// Probes the primary on a new connection: reports first that it was accepted, then that it was
+    /// answered.
     fn probe_new(&mut self, primary: &InstanceName, address: SocketAddr) {
         let notices = self.notices.clone();
         let instance = primary.clone();
         let timing = &self.context.settings.timing;
         let accept = Duration::from_millis(timing.probe_timeout_ms);
-        let expected = self.identify(primary);
+        let expected = self.expected_identity(primary);
         self.children.spawn(async move {
             let report = |outcome| {
                 GroupNotice::Probe(ProbeReport {
@@ -185,13 +193,14 @@
                 return;
             }
             let _ = notices.send(report(ProbeOutcome::Accepted)).await;
-            let answer = probe_answer(address, &expected, LATE_ANSWER).await;
+            let answer = probe_answer(address, &expected, PROBE_ANSWER_TIMEOUT).await;
             if answer != ProbeOutcome::Silent {
                 let _ = notices.send(report(answer)).await;
             }
         });
     }
 
+    /// Asks every standby whether it reaches the primary.
     fn ask_standbys(&mut self, primary: &InstanceName, address: SocketAddr) {
         let limit = Duration::from_millis(self.context.settings.timing.probe_timeout_ms * 2);
         for vm in self.record.placement.standbys.clone() {
@@ -202,8 +211,8 @@
             let links = self.context.links.clone();
             let notices = self.notices.clone();
             let instance = primary.clone();
-            let expected = self.identify(primary);
-            let asked = self.context.clock.now();
+            let expected = self.expected_identity(primary);
+            let sent_at = self.context.clock.now();
             self.children.spawn(async move {
                 let call = |client: Arc<WsClient>| async move {
                     client.probe_instance(address, expected).await
@@ -212,7 +221,7 @@
                     let probe = StandbyProbe {
                         instance,
                         vm,
-                        asked,
+                        sent_at,
                         reachable,
                     };
                     let _ = notices.send(GroupNotice::StandbyProbe(probe)).await;
@@ -221,25 +230,25 @@
         }
     }
 
-    /// Takes the end of a probe.
-    pub(super) fn take_probe_report(&mut self, report: &ProbeReport) {
+    /// Handles the outcome of a probe.
+    pub(super) fn handle_probe_report(&mut self, report: &ProbeReport) {
         self.note_probe(&report.instance, report.view, report.outcome);
     }
 
-    /// Takes a standby's view of the primary.
-    pub(super) fn take_standby_probe(&mut self, probe: &StandbyProbe) {
-        if let Some(watch) = &mut self.watch
+    /// Handles a standby's report whether it reaches the primary.
+    pub(super) fn handle_standby_probe(&mut self, probe: &StandbyProbe) {
+        if let Some(watch) = &mut self.primary_watch
             && watch.instance == probe.instance
         {
             watch
                 .detector
-                .note_standby(probe.asked, &probe.vm, probe.reachable);
+                .note_standby(probe.sent_at, &probe.vm, probe.reachable);
         }
     }
 
     fn note_probe(&mut self, instance: &InstanceName, view: ProbeView, outcome: ProbeOutcome) {
         let now = self.context.clock.now();
-        if let Some(watch) = &mut self.watch
+        if let Some(watch) = &mut self.primary_watch
             && watch.instance == *instance
         {
             watch.detector.note_probe(now, view, outcome);
--- a/crates/daemon/src/group/promoting.rs
+++ b/crates/daemon/src/group/promoting.rs
@@ -1,7 +1,9 @@
-//! Drives the group's promotion machine: commands to control, orders to agents, and its own record.
+//! Runs the group's promotion state machine: sends its commands to the control VMs and its orders
+//! to the agents, and feeds the answers back.
 //!
-//! This task knows the outcome of its own commands before the next delta of the catalog arrives,
-//! and adopts it at once: a promotion takes milliseconds, a heartbeat interval is a multiple.
+//! This task learns the outcome of its own commands before the next catalog delta arrives and
+//! applies it to its record at once: a promotion takes milliseconds, and the heartbeat that brings
+//! the delta has a longer interval.
 
 use super::GroupContext;
 use super::GroupTask;
@@ -38,11 +40,11 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How long an agent may take to answer an order. An agent that is up answers in milliseconds; one
-/// that is asked across domains and just starts up gets two orders of magnitude more.
-const ORDER_LIMIT: Duration = Duration::from_millis(250);
+/// The time limit of an agent's answer to an order. A running agent answers in milliseconds; one
+/// that is reached across failure domains and is just starting gets two orders of magnitude more.
+const AGENT_ORDER_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// When the phases of the running promotion ended.
+/// The timing of the promotion in progress.
 #[derive(Debug, Default)]
 struct PhaseTimes {
     started: Option<ClockTime>,
@@ -50,62 +52,68 @@
     awaiting_first_write: bool,
 }
 
-/// The promotion machine and what is due around it.
+/// The promotion state machine and the work that is pending around it.
 pub(super) struct PromotionDriver {
     machine: GroupPromotion,
-    pending: PromotionActions,
-    pub(super) born: ClockTime,
+    pending_actions: PromotionActions,
+    /// When the state machine was resumed.
+    pub(super) resumed_at: ClockTime,
     phases: PhaseTimes,
+    /// The latest catalog revision that is known from the outcome of an own command.
     known_revision: CatalogRevision,
-    pub(super) changing_set: bool,
-    /// Whether the lease has ended since the machine was resumed.
-    lapsed: bool,
+    /// Whether a change of the instance set has been proposed and its outcome is open.
+    pub(super) set_change_pending: bool,
+    /// Whether this leaseholder could not act at some time since the state machine was resumed, so
+    /// that it must be resumed again.
+    must_resume: bool,
 }
 
 impl PromotionDriver {
-    /// Resumes the machine from the group's record.
+    /// Resumes the state machine from the group's record.
     pub(super) fn new(context: &GroupContext, record: &GroupRecord) -> Self {
         let now = context.clock.now();
-        let (machine, pending) = GroupPromotion::resume(record, now);
+        let (machine, pending_actions) = GroupPromotion::resume(record, now);
         Self {
             machine,
-            pending,
-            born: now,
+            pending_actions,
+            resumed_at: now,
             phases: PhaseTimes::default(),
             known_revision: CatalogRevision(0),
-            changing_set: false,
-            lapsed: false,
+            set_change_pending: false,
+            must_resume: false,
         }
     }
 }
 
 impl PromotionDriver {
-    /// Says whether the present term has its primary.
-    pub(super) fn is_settled(&self) -> bool {
+    /// Returns whether the present term has a recorded primary.
+    pub(super) fn has_primary(&self) -> bool {
         self.machine.state() == PromotionState::Serving
     }
 }
 
 impl GroupTask {
-    /// Says whether the group has a primary that may be dispatched to.
+    /// Returns whether the group has a primary to which statements may be dispatched.
     pub(super) fn is_serving(&self) -> bool {
-        self.promotion.is_settled() && self.record.primary.is_some() && self.journal.is_some()
+        self.promotion.has_primary() && self.record.primary.is_some() && self.journal.is_some()
     }
 
-    /// Takes over the catalog's record, unless it's older than what this task knows itself.
+    /// Applies the catalog's record unless it is older than the outcome of this task's own
+    /// commands.
     ///
-    /// A delta can be overtaken by the answer to this task's own command. An instance set that went
-    /// back to a smaller one would let fewer instances make a majority.
+    /// The answer to an own command can overtake a delta. If the instance set reverted to an
+    /// earlier, smaller one, fewer instances would count as a majority.
     pub(super) fn adopt_record(&mut self, record: GroupRecord, revision: CatalogRevision) {
         if revision < self.promotion.known_revision {
             return;
         }
-        self.take_record(record.clone());
+        self.replace_record(record.clone());
         let input = PromotionInput::RecordChanged(Box::new(record));
         self.step_promotion(input);
     }
 
-    fn take_record(&mut self, record: GroupRecord) {
+    /// Replaces the record and abandons the writes that it makes uncertain.
+    fn replace_record(&mut self, record: GroupRecord) {
         if self.record == record {
             return;
         }
@@ -115,12 +123,14 @@
         self.refresh_all_endpoints();
     }
 
-    fn take_own_record(&mut self, record: GroupRecord) {
-        self.take_record(record.clone());
+    /// Replaces the record by one that an own command has changed, and reports it to the state
+    /// machine.
+    fn apply_own_record(&mut self, record: GroupRecord) {
+        self.replace_record(record.clone());
         self.step_promotion(PromotionInput::RecordChanged(Box::new(record)));
     }
 
-    /// Takes over what the machine knows of the term, which may be ahead of the catalog's copy.
+    /// Applies the state machine's view of the term, which may be ahead of the catalog's copy.
     fn adopt_machine_record(&mut self) {
         let known = self.promotion.machine.record();
         let record = GroupRecord {
@@ -130,11 +140,12 @@
             start: known.start,
             ..self.record.clone()
         };
-        self.take_record(record);
+        self.replace_record(record);
         self.refresh_all_endpoints();
     }
 
-    /// Ends the present term: nothing is dispatched, and no write of it is acknowledged any more.
+    /// Stops serving the present term: nothing is dispatched, and none of its writes is
+    /// acknowledged any more.
     fn suspend_term(&mut self) {
         self.serving_since = None;
         let abandoned = self.quorum.suspend();
@@ -142,16 +153,17 @@
         self.refresh_all_endpoints();
     }
 
-    /// Tells the callers of writes that no majority is known to hold that they are in doubt.
+    /// Reports writes that no majority is known to hold as in doubt.
     pub(super) fn abandon_writes(&mut self, abandoned: &[WriteTicket]) {
         for write in abandoned {
-            if let Some(ticket) = self.writes.remove(write) {
+            if let Some(ticket) = self.unconfirmed_writes.remove(write) {
                 self.settle(ticket, RequestVerdict::MayHaveRun(DoubtCause::NotConfirmed));
             }
         }
     }
 
-    pub(super) fn note_later_term(&mut self, later: GroupTerm) {
+    /// Reports the instances that are fenced at a later term to the state machine.
+    pub(super) fn handle_later_term(&mut self, later: GroupTerm) {
         let statuses = self.record.instances.iter().filter_map(|instance| {
             let status = self.quorum.status(instance)?;
             (status.fenced_term == later).then(|| (instance.clone(), *status))
@@ -161,15 +173,16 @@
         }
     }
 
-    /// Does what is due by time: retries, the first formation, changes of the instance set.
+    /// Carries out what is due: retries, the formation of a new group, and changes of the instance
+    /// set.
     pub(super) fn tick_promotion(&mut self) {
         if !self.may_act() {
-            self.promotion.lapsed = true;
+            self.promotion.must_resume = true;
             return;
         }
         self.resume_after_lapse();
-        let pending = std::mem::take(&mut self.promotion.pending);
-        self.follow_actions(pending);
+        let pending_actions = std::mem::take(&mut self.promotion.pending_actions);
+        self.execute_actions(pending_actions);
         let now = self.context.clock.now();
         if self
             .promotion
@@ -184,49 +197,52 @@
             PromotionState::Serving => {
                 self.replace_leaving_primary();
                 self.change_instance_set();
-                self.direct_followers();
+                self.report_instance_statuses();
             }
             _ => {}
         }
     }
 
-    /// Starts the machine anew from the catalog after the lease had ended.
+    /// Resumes the state machine from the catalog after a time in which this leaseholder could not
+    /// act.
     ///
-    /// Orders that were due meanwhile were not given. The lease comes back only together with the
-    /// present catalog, which shows how far a promotion had come.
+    /// Orders that were due in that time were not given. A renewed lease comes only together with
+    /// the present catalog, which shows how far a promotion had come.
     fn resume_after_lapse(&mut self) {
-        if !self.promotion.lapsed {
+        if !self.promotion.must_resume {
             return;
         }
         let known_revision = self.promotion.known_revision;
-        let changing_set = self.promotion.changing_set;
+        let set_change_pending = self.promotion.set_change_pending;
         self.promotion = PromotionDriver {
             known_revision,
-            changing_set,
+            set_change_pending,
             ..PromotionDriver::new(&self.context, &self.record)
         };
         self.refresh_all_endpoints();
     }
 
-    /// Says whether this leaseholder may change anything: its lease runs and its journal is whole.
+    /// Returns whether this leaseholder may act: its lease is valid, its journal is recovered, and
+    /// no handover is in progress.
     pub(super) fn may_act(&self) -> bool {
         let now = self.context.clock.now();
         self.may_lead(now) && self.journal.is_some() && !self.handing_over
     }
 
+    /// Passes an input to the state machine and carries out its actions.
     pub(super) fn step_promotion(&mut self, input: PromotionInput) {
         let now = self.context.clock.now();
         let before = self.promotion.machine.state();
         let actions = self.promotion.machine.handle(now, input);
         let after = self.promotion.machine.state();
         if before != after {
-            self.note_phase(before, after);
+            self.finish_phase(before, after);
             self.refresh_all_endpoints();
         }
-        self.follow_actions(actions);
+        self.execute_actions(actions);
     }
 
-    /// Begins a promotion because the primary of the present term is taken for dead.
+    /// Starts a promotion because the primary of the present term is suspected to have failed.
     pub(super) fn suspect_primary(&mut self, last_answer: ClockTime) {
         if self.promotion.machine.state() != PromotionState::Serving {
             return;
@@ -240,7 +256,8 @@
         self.step_promotion(PromotionInput::Suspected(term));
     }
 
-    fn note_phase(&mut self, before: PromotionState, after: PromotionState) {
+    /// Logs the phase of a promotion that ends with a change of the state.
+    fn finish_phase(&mut self, before: PromotionState, after: PromotionState) {
         let phase = match before {
             PromotionState::Serving => "detect",
             PromotionState::Beginning => "commit",
@@ -253,6 +270,7 @@
         self.promotion.phases.awaiting_first_write = after == PromotionState::Serving;
     }
 
+    /// Logs a phase's duration and the time since the failed primary's last answer.
     fn log_phase(&mut self, phase: &str) {
         let now = self.context.clock.now();
         let phases = &mut self.promotion.phases;
@@ -269,18 +287,18 @@
         );
     }
 
-    /// Logs the end of the outage: the first write of the new term is acknowledged.
-    pub(super) fn note_write_landed(&mut self) {
+    /// Logs the end of the outage when the first write of the new term is acknowledged.
+    pub(super) fn log_first_write(&mut self) {
         if self.promotion.phases.awaiting_first_write {
             self.promotion.phases.awaiting_first_write = false;
             self.log_phase("first_write");
         }
     }
 
-    fn follow_actions(&mut self, actions: PromotionActions) {
-        // A successor may lead the group by now, in an epoch of its own.
+    fn execute_actions(&mut self, actions: PromotionActions) {
+        // A successor may lead the group by now, in a later epoch.
         if !self.may_act() {
-            self.promotion.lapsed = true;
+            self.promotion.must_resume = true;
             return;
         }
         for action in actions {
@@ -318,7 +336,7 @@
         }
     }
 
-    /// Proposes a command at the control VMs, after a pause.
+    /// Proposes a command to the control VMs after a pause.
     pub(super) fn propose(&mut self, command: CatalogCommand, pause: Duration) {
         let proposer = self.context.proposer();
         let notices = self.notices.clone();
@@ -330,8 +348,8 @@
         });
     }
 
-    /// Takes the answer to a command, and what it changed, without waiting for the next delta.
-    pub(super) fn take_command_reply(&mut self, command: CatalogCommand, reply: CommandReply) {
+    /// Handles the outcome of a command, and applies its change without waiting for the next delta.
+    pub(super) fn handle_command_reply(&mut self, command: CatalogCommand, reply: CommandReply) {
         let done = match &reply {
             CommandReply::Committed(CatalogOutcome::Done(revision)) => Some(*revision),
             _ => None,
@@ -348,7 +366,7 @@
                     record.term = start.term;
                     record.term_epoch = start.epoch;
                     record.primary = None;
-                    self.take_record(record);
+                    self.replace_record(record);
                 }
                 self.step_promotion(input);
             }
@@ -357,26 +375,26 @@
                 if done.is_some() && primary.term == record.term {
                     record.primary = Some(primary.primary);
                     record.start = primary.start;
-                    self.take_record(record);
+                    self.replace_record(record);
                 }
                 self.step_promotion(input);
             }
             CatalogCommand::AddInstance(change) => {
                 if done.is_some() && !record.instances.contains(&change.instance) {
                     record.instances.push(change.instance.clone());
-                    self.take_own_record(record);
+                    self.apply_own_record(record);
                 }
-                self.end_set_change(CatalogCommand::AddInstance(change), &reply);
+                self.finish_set_change(CatalogCommand::AddInstance(change), &reply);
             }
             CatalogCommand::RemoveInstance(change) => {
                 if done.is_some() {
                     record.instances.retain(|name| *name != change.instance);
-                    self.take_own_record(record);
+                    self.apply_own_record(record);
                 }
-                self.end_set_change(CatalogCommand::RemoveInstance(change), &reply);
+                self.finish_set_change(CatalogCommand::RemoveInstance(change), &reply);
             }
-            CatalogCommand::PlaceGroup(_) => self.take_handover_reply(&reply),
-            CatalogCommand::ConfirmJournal(mark) => self.take_journal_mark(mark, &reply),
+            CatalogCommand::PlaceGroup(_) => self.handle_handover_reply(&reply),
+            CatalogCommand::ConfirmJournal(mark) => self.handle_journal_mark(mark, &reply),
             CatalogCommand::ApplyContract(_)
             | CatalogCommand::ApplyDocument(_)
             | CatalogCommand::IssueToken(_)
@@ -386,8 +404,9 @@
         }
     }
 
-    /// Lets the machine see every instance's state, so that those that strayed are told to follow.
-    fn direct_followers(&mut self) {
+    /// Reports every instance's status to the state machine, which orders those that don't follow
+    /// the primary to do so.
+    fn report_instance_statuses(&mut self) {
         let names = self
             .pool
             .endpoints()
@@ -399,6 +418,7 @@
         }
     }
 
+    /// Orders an instance to follow the primary, if the primary's address is known.
     fn order_follow(&mut self, order: FollowOrder) {
         let Some(primary) = self.pool.endpoint(&order.primary) else {
             return;
@@ -408,6 +428,7 @@
         self.order_agent(AgentOrder::Follow, order.instance, order.term, target);
     }
 
+    /// Sends an order to an instance's agent and reports the answer as a notice.
     fn order_agent(
         &mut self,
         order: AgentOrder,
@@ -419,7 +440,7 @@
         let address = entry.map(|entry| entry.announcement.agent_address);
         let links = self.context.links.clone();
         let notices = self.notices.clone();
-        let expected = self.identify(&instance);
+        let expected = self.expected_identity(&instance);
         self.children.spawn(async move {
             let call = |client: Arc<WsClient>| async move {
                 match (order, target) {
@@ -432,7 +453,7 @@
             };
             let reply = match address {
                 Some(address) => {
-                    let answer = links.call_instance(address, &expected, ORDER_LIMIT, call);
+                    let answer = links.call_instance(address, &expected, AGENT_ORDER_TIMEOUT, call);
                     answer.await
                 }
                 None => Err(LinkError::Unreachable),
@@ -441,14 +462,14 @@
                 order,
                 instance,
                 term,
-                outcome: read_outcome(reply),
+                outcome: agent_outcome(reply),
             };
             let _ = notices.send(GroupNotice::Order(report)).await;
         });
     }
 
-    /// Takes an agent's answer to an order.
-    pub(super) fn take_order_report(&mut self, report: OrderReport) {
+    /// Passes an agent's answer to an order on to the state machine.
+    pub(super) fn handle_order_report(&mut self, report: OrderReport) {
         let OrderReport {
             order,
             instance,
@@ -464,7 +485,8 @@
     }
 }
 
-fn read_outcome(reply: Result<FenceReply, LinkError>) -> AgentOutcome {
+/// Classifies an agent's answer by whether the order may have taken effect.
+fn agent_outcome(reply: Result<FenceReply, LinkError>) -> AgentOutcome {
     match reply {
         Ok(reply) => AgentOutcome::Answered(reply),
         Err(LinkError::Unreachable | LinkError::Exhausted) => AgentOutcome::NotSent,
--- a/crates/daemon/src/group/request.rs
+++ b/crates/daemon/src/group/request.rs
@@ -1,4 +1,4 @@
-//! A statement on its way through its group's leaseholder.
+//! The state of a statement while its group's leaseholder handles it.
 
 use crate::connection::ConnectionId;
 use ragwort_control::ClockTime;
@@ -18,50 +18,50 @@
 use ragwort_types::TransactionStep;
 use tokio::sync::oneshot;
 
-/// How far a request has come.
+/// The stage of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestStage {
-    /// It waits in the scheduler's queue.
+    /// Waits in the scheduler's queue.
     Waiting,
-    /// It was dispatched to this instance and waits until all standbys hold its key.
+    /// Dispatched to this instance; waits until every standby holds its key.
     Journaling(InstanceName),
-    /// It runs on this connection.
+    /// Runs on this connection.
     Running(ConnectionId),
-    /// It was answered and waits for a majority to hold its write.
+    /// Answered; waits until a majority holds its write.
     AwaitingMajority(WriteTicket),
-    /// It was answered and waits for a majority to confirm the term.
+    /// Answered; waits until a majority confirms the term in this read round.
     AwaitingRound(RoundId),
-    /// Its verdict is known and waits until all standbys hold it.
+    /// Its verdict is known; waits until every standby holds the journal entry with this number.
     Recording(u64),
 }
 
-/// A request that the leaseholder has taken in.
+/// A request that the leaseholder has admitted.
 #[derive(Debug)]
 pub struct ActiveRequest {
     /// The statement.
     pub request: Box<StatementRequest>,
-    /// Where the reply goes.
+    /// The channel for the reply.
     pub reply: oneshot::Sender<StatementReply>,
-    /// What the contract says of its kind, with the caller's marks applied.
+    /// The contract's terms for its kind, tightened by the caller's marks.
     pub terms: KindTerms,
     /// When it arrived.
     pub arrived: ClockTime,
-    /// When its caller needs the answer.
+    /// The time by which the caller needs the answer.
     pub deadline: ClockTime,
-    /// How far it has come.
+    /// Its stage.
     pub stage: RequestStage,
-    /// The journal entry of its key.
+    /// The number of the journal entry with its key.
     pub key_entry: Option<u64>,
-    /// The round of reads that it joined when it was dispatched.
+    /// The read round that a fresh read joined when it was dispatched.
     pub round: Option<RoundId>,
-    /// When it was dispatched.
+    /// When it was dispatched; its arrival time until then.
     pub dispatched: ClockTime,
-    /// The endpoint's answer, while it waits to be confirmed.
+    /// The endpoint's answer, while it is withheld for confirmation.
     pub answer: Option<(RequestVerdict, ServedBy)>,
 }
 
 impl ActiveRequest {
-    /// Says whether the request may change data: it is a write, or commits a transaction.
+    /// Returns whether the request may change data: a single write, or a transaction's commit.
     pub fn is_write(&self) -> bool {
         match self.request.step {
             TransactionStep::Single => self.terms.access == AccessMode::Write,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Says whether the answer must reflect everything acknowledged before it.
+    /// Returns whether the answer must reflect every write that was acknowledged before the read.
     pub fn is_fresh_read(&self) -> bool {
         self.request.step == TransactionStep::Single
             && self.terms.access == AccessMode::Read
@@ -85,13 +85,13 @@
 pub struct ResendWaiter {
     /// The resent statement.
     pub id: StatementId,
-    /// Where the reply goes.
+    /// The channel for the reply.
     pub reply: oneshot::Sender<StatementReply>,
-    /// When its caller needs the answer.
+    /// The time by which the caller needs the answer.
     pub deadline: ClockTime,
 }
 
-/// A request key within its customer.
+/// A request key together with its customer, within which it is unique.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct KeyedRequest {
     /// The customer.
@@ -100,10 +100,10 @@
     pub key: RequestKey,
 }
 
-/// A transaction that holds a connection.
+/// An open transaction, which is pinned to a connection.
 #[derive(Clone, Debug)]
 pub struct OpenTransaction {
-    /// The request that opened it.
+    /// The ticket of the request that opened it.
     pub opener: RequestTicket,
     /// The connection.
     pub connection: ConnectionId,
--- a/crates/daemon/src/group/ticking.rs
+++ b/crates/daemon/src/group/ticking.rs
@@ -1,4 +1,5 @@
-//! What a leaseholder looks at by time: waits, ages, silent endpoints, forgotten transactions.
+//! The periodic work of a leaseholder: expires waits and idle transactions, removes silent
+//! endpoints, refreshes data ages, and drives promotion, failure detection and handover.
 
 use super::GroupTask;
 use super::intake::unix_millis;
@@ -9,13 +10,14 @@
 use ragwort_types::TransactionId;
 use std::time::Duration;
 
-/// How often the journal forgets what is no longer needed.
-const PRUNE_TICKS: u64 = 100;
+/// The interval, in ticks, at which the journal is pruned and the metrics are updated.
+const PRUNE_INTERVAL_TICKS: u64 = 100;
 
 impl GroupTask {
-    pub(super) fn take_tick(&mut self) {
+    /// Does the periodic work.
+    pub(super) fn handle_tick(&mut self) {
         self.ticks += 1;
-        self.end_overdue();
+        self.expire_overdue_waits();
         self.end_idle_transactions();
         let lost = Duration::from_millis(self.context.settings.timing.announce_lost_ms);
         for instance in self.pool.remove_silent(lost) {
@@ -37,36 +39,37 @@
         self.tick_detector();
         self.tick_handover();
         self.restart_lost_round();
-        if self.ticks.is_multiple_of(PRUNE_TICKS) {
+        if self.ticks.is_multiple_of(PRUNE_INTERVAL_TICKS) {
             self.prune_journal();
-            self.show_metrics();
+            self.update_metrics();
         }
     }
 
-    /// Lets a round of reads that got no majority begin again.
+    /// Abandons a read round that got no majority in time, so that another can begin.
     fn restart_lost_round(&mut self) {
         let now = self.context.clock.now();
         let limit = Duration::from_millis(self.context.settings.timing.probe_timeout_ms);
-        let Some((_, begun)) = self.round_running else {
+        let Some((_, begun)) = self.running_round else {
             return;
         };
         if now.since(begun) > limit {
-            self.round_running = None;
+            self.running_round = None;
             let waits = |active: &ActiveRequest| {
                 matches!(active.stage, RequestStage::AwaitingRound(_)) || active.round.is_some()
             };
             if self.requests.values().any(waits) {
-                // A confirmation of a later round also covers the reads of the lost one.
+                // The confirmation of a later round also covers the reads of an earlier one.
                 self.quorum.join_read();
             }
         }
     }
 
-    /// Ends the transactions whose callers have gone without a word: each holds one of the
-    /// endpoint's few connections.
+    /// Ends the transactions whose callers have sent nothing for too long, since each occupies one
+    /// of the endpoint's few connections.
     ///
-    /// A long statement is no idleness. If its connection were forgotten here, its end would find
-    /// nobody: the caller would get no answer, and its slot would stay taken for good.
+    /// A transaction with a running statement is not idle. If its connection were removed here, the
+    /// statement's outcome would be discarded: the caller would get no answer, and the scheduler's
+    /// slot would never be released.
     fn end_idle_transactions(&mut self) {
         let now = self.context.clock.now();
         let limit = Duration::from_millis(self.context.settings.timing.idle_transaction_ms);
@@ -79,6 +82,8 @@
         }
     }
 
+    /// Removes journal entries that are no longer needed: keys past their window, and the positions
+    /// of sessions that all instances have passed.
     fn prune_journal(&mut self) {
         let Some(journal) = &mut self.journal else {
             return;
@@ -88,7 +93,7 @@
         }
     }
 
-    fn show_metrics(&self) {
+    fn update_metrics(&self) {
         let metrics = &self.context.metrics;
         let now = self.context.clock.now();
         let state = self.scheduler.snapshot(now);
