--- a/crates/daemon/src/control/commands.rs
+++ b/crates/daemon/src/control/commands.rs
@@ -1,4 +1,8 @@
-//! Catalog commands: from their proposal to the outcome of their committed entry.
+//! Handles catalog commands from their proposal to the outcome of their committed entry.
+//!
+//! A follower forwards a command to the leader once. A command whose entry was not committed, or
+//! was replaced by another leader's entry, is answered as unknown, because it may still be
+//! committed.
 
 use super::ControlTask;
 use super::event::ControlFault;
@@ -18,19 +22,20 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Commands that may wait to be committed. At the size of two years a storm of takeovers after the
-/// loss of a failure domain proposes some hundred at once.
-const UNCOMMITTED_COMMANDS: usize = 2_048;
+/// The largest number of commands that wait to be committed. With the system's size expected after
+/// two years, the takeovers after the loss of a failure domain propose some hundred at once.
+const MAX_UNCOMMITTED_COMMANDS: usize = 2_048;
 
 impl ControlTask {
-    pub(super) fn take_command(
+    /// Proposes a command as leader, or forwards it to the leader.
+    pub(super) fn handle_command(
         &mut self,
         request: CommandRequest,
         reply: oneshot::Sender<CommandReply>,
     ) {
         if self.node.is_leader() {
-            // With fewer voters than the system is to have, the loss of as many disks as it must
-            // survive could take an accepted configuration with it.
+            // With fewer voters than configured, the loss of as many disks as the system must
+            // survive could lose an accepted configuration.
             let document = matches!(request.command, CatalogCommand::ApplyDocument(_));
             if document && self.node.voters().len() < self.settings.least_voters() {
                 let _ = reply.send(CommandReply::NoLeader);
@@ -60,25 +65,26 @@
         });
     }
 
+    /// Proposes a command to the agreed log; its entry's outcome goes to `reply`, if there is one.
     pub(super) fn propose(
         &mut self,
         command: &CatalogCommand,
         reply: Option<oneshot::Sender<CommandReply>>,
     ) {
-        // Without a bound a leader that is cut off would take in commands until its memory is full.
-        if self.commands.len() >= UNCOMMITTED_COMMANDS {
+        // Without a limit, a leader that is cut off would accept commands until its memory is full.
+        if self.waiting_commands.len() >= MAX_UNCOMMITTED_COMMANDS {
             if let Some(reply) = reply {
                 let _ = reply.send(CommandReply::NoLeader);
             }
             return;
         }
-        let text = serde_json::to_string(command).expect("a command is plain data");
+        let text = serde_json::to_string(command).expect("a catalog command serializes to JSON");
         match self.node.propose(text) {
             Ok(mark) => {
                 if reply.is_none() {
                     self.own_proposals.insert(mark.index.0);
                 }
-                self.commands
+                self.waiting_commands
                     .insert(mark.index.0, WaitingCommand { mark, reply });
             }
             Err(_) => {
@@ -89,12 +95,13 @@
         }
     }
 
+    /// Applies a committed entry to the catalog and answers the command that waits for it.
     pub(super) fn apply_entry(
         &mut self,
         mark: EntryMark,
         data: Option<&str>,
     ) -> Result<(), ControlFault> {
-        let waiting = self.commands.remove(&mark.index.0);
+        let waiting = self.waiting_commands.remove(&mark.index.0);
         self.own_proposals.remove(&mark.index.0);
         let Some(text) = data else {
             answer_command(waiting, mark, None);
@@ -126,8 +133,8 @@
     let Some(sender) = waiting.reply else {
         return;
     };
-    // Another leader's entry stands where the command was proposed: the command is not committed
-    // there, but may have been proposed again.
+    // If another leader's entry was committed at the command's index, the command was not committed
+    // there, but it may have been proposed again.
     let own = waiting.mark == mark;
     let _ = sender.send(reply.filter(|_| own).unwrap_or(CommandReply::Unknown));
 }
--- a/crates/daemon/src/control/documents.rs
+++ b/crates/daemon/src/control/documents.rs
@@ -1,4 +1,4 @@
-//! The whole configuration, as it is read back.
+//! Reads the newest configuration document.
 
 use super::ControlTask;
 use super::event::DocumentQuestion;
@@ -11,10 +11,11 @@
 use tokio::sync::oneshot;
 
 impl ControlTask {
-    /// Answers which document is the newest, once a majority has confirmed that this VM leads.
+    /// Answers with the newest document once a majority has confirmed that this VM leads; a
+    /// follower asks the leader.
     ///
-    /// A former leader behind a cut would show its operator a configuration that was replaced on
-    /// the other side.
+    /// Without the confirmation, a former leader behind a network partition could return a document
+    /// that has been replaced on the other side.
     pub(super) fn read_document(
         &mut self,
         question: DocumentQuestion,
@@ -22,7 +23,7 @@
     ) {
         if let Ok(ticket) = self.node.confirm_read() {
             let read = UnconfirmedRead::Document(reply);
-            self.confirming.insert(ticket, read);
+            self.pending_reads.insert(ticket, read);
             return;
         }
         let direct = question == DocumentQuestion::Direct;
@@ -39,7 +40,8 @@
         });
     }
 
-    pub(super) fn show_document(&self) -> DocumentReading {
+    /// Returns the catalog's document as a reading.
+    pub(super) fn document_reading(&self) -> DocumentReading {
         match self.catalog.document() {
             Some(document) => DocumentReading::Newest(document.clone()),
             None => DocumentReading::Empty,
--- a/crates/daemon/src/control/event.rs
+++ b/crates/daemon/src/control/event.rs
@@ -1,4 +1,4 @@
-//! What the control task is asked, and what waits in it for an answer.
+//! The inputs of the control task, and the requests that wait in it for an answer.
 
 use ragwort_control::ClockTime;
 use ragwort_control::EntryMark;
@@ -25,41 +25,43 @@
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-/// What the control task is asked or told.
+/// An input of the control task.
 #[derive(Debug)]
 pub enum ControlEvent {
-    /// A message of the agreed log.
+    /// A peer's message of the agreed log.
     Agree(AgreementEnvelope),
-    /// A command to commit.
+    /// Commits a command.
     Propose(CommandRequest, oneshot::Sender<CommandReply>),
     /// A member's heartbeat.
     Heartbeat(HeartbeatRequest, oneshot::Sender<HeartbeatReply>),
-    /// Heartbeats that a follower passes on.
+    /// Heartbeats that a follower has forwarded.
     Batch(HeartbeatBatch, oneshot::Sender<Vec<HeartbeatReply>>),
-    /// How far a contract change has come; `None` if this VM doesn't lead.
+    /// Returns how far a contract change is in force; `None` if this VM doesn't lead.
     Force(ContractAcceptance, oneshot::Sender<Option<ForceStatus>>),
-    /// Which voter this is.
+    /// Returns which voter this VM is.
     Identity(oneshot::Sender<ControlIdentity>),
-    /// The next piece of the catalog for a member, packed.
+    /// Returns the next piece of the catalog for a member, packed.
     ReadCatalog(PieceRequest, oneshot::Sender<Arc<str>>),
-    /// Where other control VMs are.
+    /// Addresses of other control VMs.
     Learned(Vec<ControlPeer>),
-    /// The newest document; asked on by a follower only if it wasn't asked on before.
+    /// Returns the newest document; a follower asks the leader unless the request was already
+    /// forwarded.
     ReadDocument(DocumentQuestion, oneshot::Sender<DocumentReading>),
-    /// Write the first voter set.
+    /// Forms the first voter set.
     Form(Vec<MemberId>, oneshot::Sender<bool>),
-    /// The state, for operators.
+    /// Returns the role's state for an operator's dump.
     Dump(oneshot::Sender<serde_json::Value>),
-    /// The leader's answers to heartbeats that this follower passed on.
-    BatchAnswered(Vec<WaitingHeartbeat>, Option<Vec<HeartbeatReply>>),
+    /// The leader's replies to heartbeats that this follower forwarded; `None` if it did not
+    /// answer.
+    ForwardedReplies(Vec<WaitingHeartbeat>, Option<Vec<HeartbeatReply>>),
 }
 
-/// Whether a question for the newest document was passed on by another control VM.
+/// Whether a request for the newest document was forwarded by another control VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DocumentQuestion {
-    /// It comes from outside, and may be passed on to the leader.
+    /// It comes from outside and may be forwarded to the leader.
     Direct,
-    /// It was passed on, and is answered here or not at all.
+    /// It was forwarded, and is answered here or refused.
     PassedOn,
 }
 
@@ -68,45 +70,47 @@
 pub struct WaitingHeartbeat {
     pub(super) request: HeartbeatRequest,
     pub(super) reply: oneshot::Sender<HeartbeatReply>,
-    /// Until when it waits for a leader, or for its member's admission.
-    pub(super) patience: ClockTime,
+    /// Until when it waits for a leader or for its member's admission.
+    pub(super) wait_until: ClockTime,
 }
 
-/// Heartbeats that wait until leadership is confirmed.
+/// Heartbeats that wait until the leadership is confirmed: received here, or forwarded by a
+/// follower.
 pub(super) enum UnconfirmedBatch {
     Own(Vec<WaitingHeartbeat>),
-    Passed(HeartbeatBatch, oneshot::Sender<Vec<HeartbeatReply>>),
+    Forwarded(HeartbeatBatch, oneshot::Sender<Vec<HeartbeatReply>>),
 }
 
-/// A granted heartbeat that waits for its reply.
-pub(super) struct OwedReply {
+/// A granted heartbeat whose reply is held until the catalog has news for the member.
+pub(super) struct HeldReply {
     pub(super) waiting: WaitingHeartbeat,
     pub(super) grant: LeaseGrant,
-    /// When the reply is sent even if the catalog has not changed.
+    /// The time at which the reply is sent even if the catalog has not changed.
     pub(super) due: ClockTime,
 }
 
-/// A command that waits for its entry to be committed.
+/// A command that waits until its entry is committed.
 pub(super) struct WaitingCommand {
+    /// The term and index of the proposed entry.
     pub(super) mark: EntryMark,
     pub(super) reply: Option<oneshot::Sender<CommandReply>>,
 }
 
-/// What waits until leadership is confirmed.
+/// A request that waits until the leadership is confirmed.
 pub(super) enum UnconfirmedRead {
     Heartbeats(Vec<UnconfirmedBatch>),
     Document(oneshot::Sender<DocumentReading>),
 }
 
-/// Why the control role can't start or go on.
+/// The reason why the control role can't start or continue.
 #[derive(Debug)]
 pub enum ControlFault {
     /// The data folder can't be used.
     Disk(io::Error),
-    /// The log file is damaged in the middle.
+    /// The log file is damaged other than by a torn tail, or an entry can't be read.
     Damaged(String),
-    /// The disk belongs to another VM.
-    Foreign(String),
+    /// The log belongs to another VM.
+    OtherVm(String),
 }
 
 impl fmt::Display for ControlFault {
@@ -114,12 +118,12 @@
         match self {
             Self::Disk(error) => write!(formatter, "data folder unusable: {error}"),
             Self::Damaged(text) => write!(formatter, "agreed log damaged: {text}"),
-            Self::Foreign(text) => write!(formatter, "agreed log of another VM: {text}"),
+            Self::OtherVm(text) => write!(formatter, "agreed log of another VM: {text}"),
         }
     }
 }
 
-/// All that the plan of placements follows from: a revision names one content of the catalog.
+/// The complete input of a placement plan; a revision identifies the catalog's content.
 #[derive(PartialEq, Eq)]
 pub(super) struct PlacementInput {
     pub(super) revision: CatalogRevision,
--- a/crates/daemon/src/control/heartbeats.rs
+++ b/crates/daemon/src/control/heartbeats.rs
@@ -1,8 +1,12 @@
-//! Heartbeats: followers gather them, the leader grants leases, replies carry what is new.
+//! Answers the heartbeats of members: followers forward them in batches, the leader grants leases,
+//! and the replies carry the catalog's news.
+//!
+//! Leases are granted only after a majority has confirmed the leadership, so that a replaced leader
+//! can't extend a lease whose groups its successor has already placed on another VM.
 
 use super::ControlTask;
 use super::event::ControlEvent;
-use super::event::OwedReply;
+use super::event::HeldReply;
 use super::event::UnconfirmedBatch;
 use super::event::UnconfirmedRead;
 use super::event::WaitingHeartbeat;
@@ -23,31 +27,32 @@
 use tokio::sync::oneshot;
 
 impl ControlTask {
-    /// Takes a member's heartbeat, to be granted or passed on with others.
+    /// Gathers a member's heartbeat, to be granted here or forwarded with others.
     ///
-    /// After a restart of all VMs nobody leads, and no process is a member. A member that were told so
-    /// at once would come back after a pause, when there is a leader, and after another one, when it is
-    /// admitted; callers are refused meanwhile. So its heartbeat waits here for both.
+    /// After a restart of all VMs there is no leader, and no process is a member. A member that was
+    /// told so at once would retry after a pause, and after another one once it is admitted, while
+    /// its callers are refused. Its heartbeat therefore waits here until there is a leader and the
+    /// member is admitted, or half a heartbeat interval has passed.
     pub(super) fn gather_heartbeat(
         &mut self,
         request: HeartbeatRequest,
         reply: oneshot::Sender<HeartbeatReply>,
     ) {
-        self.meet_newcomer(&request);
+        self.note_nonmember(&request);
         let hold = Duration::from_millis(self.settings.timing.heartbeat_ms / 2);
-        self.gathered.push(WaitingHeartbeat {
+        self.gathered_heartbeats.push(WaitingHeartbeat {
             request,
             reply,
-            patience: self.clock.now() + hold,
+            wait_until: self.clock.now() + hold,
         });
     }
 
-    /// Notes a process that isn't a member yet, so that it is admitted before its heartbeat is
-    /// answered.
+    /// Reports a process that isn't a member to the ledger, so that it is admitted before its
+    /// heartbeat is answered.
     ///
-    /// It is granted nothing here: that needs a confirmed leadership. Its admission is an entry of the
-    /// agreed log, which confirms itself.
-    pub(super) fn meet_newcomer(&mut self, request: &HeartbeatRequest) {
+    /// No lease is granted here, since that needs a confirmed leadership. The admission is an entry
+    /// of the agreed log, which can only be committed by the true leader.
+    pub(super) fn note_nonmember(&mut self, request: &HeartbeatRequest) {
         let id = &request.member.id;
         let known = self.catalog.member(&id.vm);
         if known.is_some_and(|known| known.id == *id) {
@@ -55,56 +60,57 @@
         }
         if let Some(ledger) = &mut self.ledger {
             ledger.receive(self.clock.now(), request, &self.catalog);
-            self.newcomers = true;
+            self.admission_due = true;
         }
     }
 
-    /// Proposes the admissions that are due, without waiting for the next look at members.
-    pub(super) fn admit_newcomers(&mut self) {
-        if self.newcomers {
-            self.care_for_members();
+    /// Proposes admissions that are due, without waiting for the next check of the members.
+    pub(super) fn propose_due_admissions(&mut self) {
+        if self.admission_due {
+            self.propose_due_changes();
         }
     }
 
     /// Asks the agreed log to confirm that this VM still leads, for all waiting heartbeats at once.
     ///
-    /// A leader that was cut off and replaced would otherwise go on granting leases while its
-    /// successor already gives the groups to others.
+    /// Without it, a leader that was cut off and replaced would go on granting leases while its
+    /// successor already places the groups on other VMs.
     ///
     /// Each confirmation costs a message to every control VM and an answer. With one for each
-    /// heartbeat they would grow with the members until they fill the queues to the followers,
-    /// which pass one message a round trip; so there is at most one in a tick, and what arrives
-    /// meanwhile shares the next.
+    /// heartbeat, their number would grow with the members until they fill the queues to the
+    /// followers, which pass one message per round trip. So there is at most one per tick, and
+    /// heartbeats that arrive meanwhile share the next.
     pub(super) fn confirm_leadership(&mut self) {
-        if self.confirmed_tick == self.ticks {
+        if self.last_confirmation_tick == self.ticks {
             return;
         }
-        if self.node.is_leader() && !self.gathered.is_empty() {
-            let own = std::mem::take(&mut self.gathered);
-            self.unconfirmed.push(UnconfirmedBatch::Own(own));
+        if self.node.is_leader() && !self.gathered_heartbeats.is_empty() {
+            let own = std::mem::take(&mut self.gathered_heartbeats);
+            self.unconfirmed_batches.push(UnconfirmedBatch::Own(own));
         }
-        if self.unconfirmed.is_empty() {
+        if self.unconfirmed_batches.is_empty() {
             return;
         }
-        self.confirmed_tick = self.ticks;
-        let batches = std::mem::take(&mut self.unconfirmed);
+        self.last_confirmation_tick = self.ticks;
+        let batches = std::mem::take(&mut self.unconfirmed_batches);
         match self.node.confirm_read() {
             Ok(ticket) => {
                 let read = UnconfirmedRead::Heartbeats(batches);
-                self.confirming.insert(ticket, read);
+                self.pending_reads.insert(ticket, read);
             }
             Err(_) => batches.into_iter().for_each(refuse_batch),
         }
     }
 
+    /// Grants the heartbeats of a batch after the leadership has been confirmed.
     pub(super) fn answer_batch(&mut self, batch: UnconfirmedBatch) {
         match batch {
             UnconfirmedBatch::Own(waiting) => {
                 let requests = waiting.iter().map(|one| &one.request);
                 let replies: Vec<_> = requests.map(|request| self.grant(request)).collect();
-                self.take_answers(waiting, Some(replies));
+                self.handle_heartbeat_replies(waiting, Some(replies));
             }
-            UnconfirmedBatch::Passed(batch, reply) => {
+            UnconfirmedBatch::Forwarded(batch, reply) => {
                 let requests = batch.heartbeats.iter();
                 let replies = requests.map(|request| self.grant(request)).collect();
                 let _ = reply.send(replies);
@@ -112,6 +118,7 @@
         }
     }
 
+    /// Returns the reply to one heartbeat, without the catalog's news.
     pub(super) fn grant(&mut self, request: &HeartbeatRequest) -> HeartbeatReply {
         let Some(ledger) = &mut self.ledger else {
             return HeartbeatReply::NotYet;
@@ -133,14 +140,14 @@
         }
     }
 
-    /// Passes the gathered heartbeats on to the leader.
-    pub(super) fn pass_heartbeats_on(&mut self) {
-        if self.node.is_leader() || self.gathered.is_empty() {
+    /// Forwards the gathered heartbeats to the leader, if this VM is a follower.
+    pub(super) fn forward_heartbeats(&mut self) {
+        if self.node.is_leader() || self.gathered_heartbeats.is_empty() {
             return;
         }
-        let waiting = std::mem::take(&mut self.gathered);
+        let waiting = std::mem::take(&mut self.gathered_heartbeats);
         let Some(address) = self.leader_address() else {
-            self.take_answers(waiting, None);
+            self.handle_heartbeat_replies(waiting, None);
             return;
         };
         let batch = HeartbeatBatch {
@@ -153,12 +160,14 @@
             let call = |client: Arc<WsClient>| async move { client.heartbeat_batch(batch).await };
             let replies = links.call(address, limit, call).await.ok();
             let _ = events
-                .send(ControlEvent::BatchAnswered(waiting, replies))
+                .send(ControlEvent::ForwardedReplies(waiting, replies))
                 .await;
         });
     }
 
-    pub(super) fn take_answers(
+    /// Holds granted replies for news, gathers heartbeats again that may still wait, and sends the
+    /// other replies.
+    pub(super) fn handle_heartbeat_replies(
         &mut self,
         waiting: Vec<WaitingHeartbeat>,
         replies: Option<Vec<HeartbeatReply>>,
@@ -171,13 +180,15 @@
             match replies.next().unwrap_or(HeartbeatReply::NotYet) {
                 HeartbeatReply::Granted(grant) => {
                     let waiting = one;
-                    self.owed.push(OwedReply {
+                    self.held_replies.push(HeldReply {
                         waiting,
                         grant,
                         due,
                     });
                 }
-                HeartbeatReply::NotYet if now < one.patience => self.gathered.push(one),
+                HeartbeatReply::NotYet if now < one.wait_until => {
+                    self.gathered_heartbeats.push(one)
+                }
                 other => {
                     let _ = one.reply.send(other);
                 }
@@ -185,13 +196,13 @@
         }
     }
 
-    /// Sends granted replies that bring something new, or have been held for long enough.
+    /// Sends the granted replies that carry pressing news or have been held long enough.
     ///
-    /// A reply waits until this VM's catalog holds what the leader's held at the grant. One that
-    /// would bring nothing pressing is then held for half a heartbeat: a change that is committed
-    /// meanwhile travels at once, instead of with the member's next heartbeat. A member that lacks much
-    /// is told so by a grant without a delta, and fetches what it lacks in pieces.
-    pub(super) fn pay_owed_replies(&mut self) {
+    /// A reply waits until this VM's catalog has reached the leader's revision at the grant.
+    /// Without pressing news it is then held for half a heartbeat interval, so that a change that
+    /// is committed meanwhile reaches the member at once and not with its next heartbeat. A member
+    /// that lacks too much for a delta gets a grant without one, and fetches the changes in pieces.
+    pub(super) fn send_due_replies(&mut self) {
         let revision = self.catalog.revision();
         let now = self.clock.now();
         let catalog = &self.catalog;
@@ -200,25 +211,29 @@
             let known = pressing.entry((held, scope));
             *known.or_insert_with(|| held < revision && catalog.is_pressing(held, scope))
         };
-        let ready = self.owed.extract_if(.., |owed| {
-            let request = &owed.waiting.request;
-            let caught_up = owed.grant.revision <= revision;
-            caught_up && (now >= owed.due || is_pressing(request.revision, scope_of(request)))
+        let ready = self.held_replies.extract_if(.., |held_reply| {
+            let request = &held_reply.waiting.request;
+            let caught_up = held_reply.grant.revision <= revision;
+            caught_up && (now >= held_reply.due || is_pressing(request.revision, scope_of(request)))
         });
         let mut deltas = BTreeMap::new();
-        for owed in ready {
-            let mut grant = owed.grant;
-            let held = owed.waiting.request.revision;
+        for held_reply in ready {
+            let mut grant = held_reply.grant;
+            let held = held_reply.waiting.request.revision;
             if held < revision {
-                let scope = scope_of(&owed.waiting.request);
+                let scope = scope_of(&held_reply.waiting.request);
                 let delta = deltas.entry((held, scope));
                 let delta = delta.or_insert_with(|| catalog.short_delta(held, scope));
                 grant.delta = delta.clone();
             }
-            let _ = owed.waiting.reply.send(HeartbeatReply::Granted(grant));
+            let _ = held_reply
+                .waiting
+                .reply
+                .send(HeartbeatReply::Granted(grant));
         }
     }
 
+    /// Returns how far a contract change is in force; `None` if this VM doesn't lead.
     pub(super) fn force_status(&self, acceptance: ContractAcceptance) -> Option<ForceStatus> {
         let ledger = self.ledger.as_ref()?;
         Some(ledger.force_status(acceptance, self.clock.now(), &self.catalog))
@@ -229,6 +244,7 @@
     CatalogScope::of(request.member.traits)
 }
 
+/// Answers the heartbeats of a batch without a lease.
 pub(super) fn refuse_batch(batch: UnconfirmedBatch) {
     match batch {
         UnconfirmedBatch::Own(waiting) => {
@@ -236,7 +252,7 @@
                 let _ = one.reply.send(HeartbeatReply::NotYet);
             }
         }
-        UnconfirmedBatch::Passed(batch, reply) => {
+        UnconfirmedBatch::Forwarded(batch, reply) => {
             let _ = reply.send(vec![HeartbeatReply::NotYet; batch.heartbeats.len()]);
         }
     }
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -1,8 +1,11 @@
-//! The control role: drives the agreed log, the catalog and the lease ledger.
+//! Runs the control role of a VM: the agreed log (the replicated log of the control VMs), the
+//! catalog that results from its committed entries, and the ledger of leases that the leader
+//! grants.
 //!
-//! One task owns all three and the log file. Everything reaches it as a [`ControlEvent`]; what
-//! takes time (calls to other VMs) runs in tasks that it spawns and joins. Nothing leaves the task
-//! before the writes that it was produced with are synced.
+//! One task owns all three and the log file. Every input reaches it as a [`ControlEvent`]; calls to
+//! other VMs run in child tasks. No message or reply leaves the task before the log writes that it
+//! depends on are synced to the disk, so that a crash can't take back what a peer or member was
+//! told.
 
 mod commands;
 mod documents;
@@ -22,7 +25,7 @@
 use crate::log_event;
 use crate::peers::PeerLinks;
 use crate::settings::DaemonSettings;
-use event::OwedReply;
+use event::HeldReply;
 use event::PlacementInput;
 use event::UnconfirmedBatch;
 use event::UnconfirmedRead;
@@ -30,8 +33,8 @@
 use event::WaitingHeartbeat;
 use heartbeats::refuse_batch;
 use log::Level;
-use peers::PeerBook;
-use pieces::PieceShelf;
+use peers::PeerTable;
+use pieces::PieceCache;
 use ragwort_control::AgreementNode;
 use ragwort_control::AgreementOutput;
 use ragwort_control::AgreementSettings;
@@ -61,20 +64,20 @@
 use tokio::time::MissedTickBehavior;
 use tokio::time::interval;
 
-/// Events taken at once before their writes are synced together. One sync then serves them all.
-const EVENTS_AT_ONCE: usize = 256;
+/// The largest number of events that are handled before their writes are synced together.
+const MAX_EVENT_BATCH: usize = 256;
 
-/// Log entries after which the log is replaced by a snapshot. At 2,300 contract changes and some
-/// thousand placement changes a day that is several times a day.
-const COMPACT_ENTRIES: u64 = 1_000;
+/// The number of applied log entries after which the log is replaced by a snapshot. With 2,300
+/// contract changes and some thousand placement changes a day, that happens several times a day.
+const COMPACTION_THRESHOLD_ENTRIES: u64 = 1_000;
 
-/// How many ticks pass between two looks at members and placements.
-const CARE_TICKS: u64 = 2;
+/// The interval, in ticks, at which the leader checks members and placements.
+const MEMBER_CHECK_TICKS: u64 = 2;
 
-/// How many ticks a follower gathers heartbeats before it passes them on.
-const GATHER_TICKS: u64 = 1;
+/// The interval, in ticks, at which a follower forwards the heartbeats that it has gathered.
+const HEARTBEAT_FORWARD_TICKS: u64 = 1;
 
-/// The control role of one VM.
+/// The state of a VM's control role.
 pub struct ControlTask {
     settings: Arc<DaemonSettings>,
     clock: NodeClock,
@@ -84,37 +87,48 @@
     log_bytes: u64,
     node: AgreementNode,
     catalog: CatalogState,
+    /// The leases; `None` unless this VM leads the agreed log.
     ledger: Option<LeaseLedger>,
     ticks: u64,
-    compacted: u64,
-    commands: BTreeMap<u64, WaitingCommand>,
+    /// The last log index that the snapshot covers.
+    compacted_index: u64,
+    /// The proposed commands whose outcome is open, by log index.
+    waiting_commands: BTreeMap<u64, WaitingCommand>,
+    /// The log indexes of the open commands that this leader proposed itself.
     own_proposals: BTreeSet<u64>,
+    /// The groups that members have reported as not placed yet.
     unplaced: BTreeSet<GroupName>,
-    /// Whether somebody was heard that waits to be admitted.
-    newcomers: bool,
-    /// What the last plan without any change was made from; the same again needs no plan. A plan
-    /// takes 1.7 ms with 630 VMs and 710 groups, and one would be made 25 times a second.
-    settled: Option<PlacementInput>,
-    gathered: Vec<WaitingHeartbeat>,
-    unconfirmed: Vec<UnconfirmedBatch>,
-    confirming: BTreeMap<ReadTicket, UnconfirmedRead>,
-    /// The tick in which leadership was last asked to be confirmed.
-    confirmed_tick: u64,
-    owed: Vec<OwedReply>,
-    pieces: PieceShelf,
+    /// Whether a process that is not a member yet has sent a heartbeat since admissions were last
+    /// proposed.
+    admission_due: bool,
+    /// The input for which the last plan changed nothing; the same input needs no new plan.
+    /// Planning takes 1.7 ms with 630 VMs and 710 groups, and would run 25 times a second
+    /// otherwise.
+    last_unchanged_input: Option<PlacementInput>,
+    /// The heartbeats that wait to be granted here or to be forwarded to the leader.
+    gathered_heartbeats: Vec<WaitingHeartbeat>,
+    /// The heartbeats for which no confirmation of the leadership has been requested yet.
+    unconfirmed_batches: Vec<UnconfirmedBatch>,
+    /// The reads that wait for a requested confirmation of the leadership.
+    pending_reads: BTreeMap<ReadTicket, UnconfirmedRead>,
+    /// The tick in which a confirmation of the leadership was last requested.
+    last_confirmation_tick: u64,
+    /// The granted heartbeats whose replies are held for news of the catalog.
+    held_replies: Vec<HeldReply>,
+    piece_cache: PieceCache,
     events: mpsc::Sender<ControlEvent>,
     inbox: mpsc::Receiver<ControlEvent>,
-    peers: PeerBook,
+    peers: PeerTable,
     children: JoinSet<()>,
 }
 
 impl ControlTask {
-    /// Opens the log under `folder` and restores what it holds.
+    /// Opens the log under `folder` and restores its state.
     ///
     /// # Errors
     ///
-    /// Returns a fault if the folder can't be used, or the log is damaged anywhere but in a torn
-    /// tail.
+    /// Returns a fault if the folder can't be used, the log is damaged other than by a torn tail,
+    /// or the log belongs to another VM.
     pub fn open(
         settings: Arc<DaemonSettings>,
         clock: NodeClock,
@@ -135,8 +149,8 @@
             file.truncate(length).map_err(ControlFault::Disk)?;
         }
         let snapshot = restored.state.snapshot();
-        let restored_snapshot = snapshot.map_or(0, |snapshot| snapshot.mark.index.0);
-        let mut peers = PeerBook::new(&settings);
+        let snapshot_index = snapshot.map_or(0, |snapshot| snapshot.mark.index.0);
+        let mut peers = PeerTable::new(&settings);
         peers.learn_from_log(&restored.state);
         let node = start_node(&settings, &peers, restored.state, fresh)?;
         let log_bytes = file.length();
@@ -152,18 +166,18 @@
             catalog: CatalogState::new(),
             ledger: None,
             ticks: 0,
-            compacted: restored_snapshot,
-            commands: BTreeMap::new(),
+            compacted_index: snapshot_index,
+            waiting_commands: BTreeMap::new(),
             own_proposals: BTreeSet::new(),
             unplaced: BTreeSet::new(),
-            newcomers: false,
-            settled: None,
-            gathered: Vec::new(),
-            unconfirmed: Vec::new(),
-            confirming: BTreeMap::new(),
-            confirmed_tick: 0,
-            owed: Vec::new(),
-            pieces: PieceShelf::default(),
+            admission_due: false,
+            last_unchanged_input: None,
+            gathered_heartbeats: Vec::new(),
+            unconfirmed_batches: Vec::new(),
+            pending_reads: BTreeMap::new(),
+            last_confirmation_tick: 0,
+            held_replies: Vec::new(),
+            piece_cache: PieceCache::default(),
             events: events.clone(),
             inbox,
             peers,
@@ -172,23 +186,23 @@
         Ok((task, events))
     }
 
-    /// Runs until told to stop.
+    /// Runs until `stop` is set or closed.
     ///
     /// # Errors
     ///
-    /// Returns a fault if the log file can't be written: a control VM that can't keep what it
-    /// acknowledges must not go on.
+    /// Returns a fault if the log file can't be written, since a control VM that can't persist what
+    /// it acknowledges must stop, or if a committed entry or snapshot can't be read.
     pub async fn run(mut self, mut stop: watch::Receiver<bool>) -> Result<(), ControlFault> {
         let mut ticker = interval(Duration::from_millis(self.settings.timing.tick_ms));
         ticker.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut events = Vec::with_capacity(EVENTS_AT_ONCE);
-        self.pump().await?;
+        let mut events = Vec::with_capacity(MAX_EVENT_BATCH);
+        self.process_outputs().await?;
         loop {
             tokio::select! {
-                _ = ticker.tick() => self.take_tick(),
-                _ = self.inbox.recv_many(&mut events, EVENTS_AT_ONCE) => {
+                _ = ticker.tick() => self.handle_tick(),
+                _ = self.inbox.recv_many(&mut events, MAX_EVENT_BATCH) => {
                     for event in events.drain(..) {
-                        self.take_event(event);
+                        self.handle_event(event);
                     }
                 }
                 Some(_) = self.children.join_next(), if !self.children.is_empty() => {}
@@ -198,41 +212,42 @@
                     }
                 }
             }
-            self.pump().await?;
+            self.process_outputs().await?;
         }
         self.peers.close();
         self.children.shutdown().await;
         Ok(())
     }
 
-    fn take_tick(&mut self) {
+    /// Advances the agreed log's timers, forwards heartbeats and proposes due changes.
+    fn handle_tick(&mut self) {
         self.ticks += 1;
         self.node.tick();
-        if self.ticks.is_multiple_of(GATHER_TICKS) {
-            self.pass_heartbeats_on();
+        if self.ticks.is_multiple_of(HEARTBEAT_FORWARD_TICKS) {
+            self.forward_heartbeats();
         }
-        if self.ticks.is_multiple_of(CARE_TICKS) {
-            self.care_for_members();
+        if self.ticks.is_multiple_of(MEMBER_CHECK_TICKS) {
+            self.propose_due_changes();
         }
     }
 
-    fn take_event(&mut self, event: ControlEvent) {
+    fn handle_event(&mut self, event: ControlEvent) {
         match event {
-            ControlEvent::Agree(envelope) => self.take_envelope(&envelope),
-            ControlEvent::Propose(request, reply) => self.take_command(request, reply),
+            ControlEvent::Agree(envelope) => self.handle_envelope(&envelope),
+            ControlEvent::Propose(request, reply) => self.handle_command(request, reply),
             ControlEvent::Heartbeat(request, reply) => self.gather_heartbeat(request, reply),
             ControlEvent::Batch(batch, reply) => {
                 for request in &batch.heartbeats {
-                    self.meet_newcomer(request);
+                    self.note_nonmember(request);
                 }
-                self.unconfirmed
-                    .push(UnconfirmedBatch::Passed(batch, reply));
+                self.unconfirmed_batches
+                    .push(UnconfirmedBatch::Forwarded(batch, reply));
             }
             ControlEvent::Force(acceptance, reply) => {
                 let _ = reply.send(self.force_status(acceptance));
             }
             ControlEvent::Identity(reply) => {
-                let _ = reply.send(self.identify());
+                let _ = reply.send(self.control_identity());
             }
             ControlEvent::ReadCatalog(request, reply) => {
                 if let Some(piece) = self.read_catalog(request) {
@@ -247,51 +262,55 @@
             ControlEvent::Dump(reply) => {
                 let _ = reply.send(self.dump());
             }
-            ControlEvent::BatchAnswered(waiting, replies) => self.take_answers(waiting, replies),
+            ControlEvent::ForwardedReplies(waiting, replies) => {
+                self.handle_heartbeat_replies(waiting, replies)
+            }
         }
     }
 
-    /// Does what the agreed log asks for, until it asks for nothing more.
-    async fn pump(&mut self) -> Result<(), ControlFault> {
+    /// Persists the agreed log's output and carries it out until there is none left; then compacts
+    /// the log and sends the replies that are due.
+    async fn process_outputs(&mut self) -> Result<(), ControlFault> {
         loop {
-            self.admit_newcomers();
+            self.propose_due_admissions();
             self.confirm_leadership();
             let output = self.node.take_output();
             if output.is_empty() {
                 break;
             }
-            self.keep_writes(&output).await?;
-            self.take_output(output)?;
+            self.persist_writes(&output).await?;
+            self.apply_output(output)?;
         }
-        self.follow_role();
+        self.handle_role_change();
         self.compact().await?;
-        self.pay_owed_replies();
+        self.send_due_replies();
         Ok(())
     }
 
-    /// Waits until the output's writes are on the disk. Only this task waits; the rest of the daemon
-    /// goes on.
-    async fn keep_writes(&mut self, output: &AgreementOutput) -> Result<(), ControlFault> {
+    /// Waits until the output's writes are synced. Only this task waits; the rest of the daemon
+    /// continues.
+    async fn persist_writes(&mut self, output: &AgreementOutput) -> Result<(), ControlFault> {
         if output.writes.is_empty() {
             return Ok(());
         }
-        let kept = self.writer.append(encode_record(&output.writes)).await;
-        self.log_bytes = kept.ok_or_else(writer_ended)?;
+        let length = self.writer.append(encode_record(&output.writes)).await;
+        self.log_bytes = length.ok_or_else(writer_ended)?;
         Ok(())
     }
 
-    /// Does what the agreed log hands out.
+    /// Carries out an output of the agreed log: messages, snapshots, committed entries, and
+    /// confirmed or lost reads.
     ///
     /// # Errors
     ///
     /// Returns a fault if a committed entry or snapshot can't be read. The catalog would be wrong
-    /// from there on: this VM would answer with contracts that no other VM has.
-    fn take_output(&mut self, output: AgreementOutput) -> Result<(), ControlFault> {
+    /// from there on, and this VM would report contracts that no other VM has.
+    fn apply_output(&mut self, output: AgreementOutput) -> Result<(), ControlFault> {
         for outbound in output.messages {
             self.send_message(&outbound.to, &outbound.message);
         }
         if let Some(snapshot) = output.install {
-            self.compacted = snapshot.mark.index.0;
+            self.compacted_index = snapshot.mark.index.0;
             let catalog = CatalogState::from_snapshot(&snapshot.data);
             self.catalog = catalog.map_err(|error| ControlFault::Damaged(error.to_string()))?;
             self.learn_members();
@@ -300,20 +319,20 @@
             self.apply_entry(entry.mark, entry.data.as_deref())?;
         }
         for ticket in output.confirmed_reads {
-            match self.confirming.remove(&ticket) {
+            match self.pending_reads.remove(&ticket) {
                 Some(UnconfirmedRead::Heartbeats(batches)) => {
                     for batch in batches {
                         self.answer_batch(batch);
                     }
                 }
                 Some(UnconfirmedRead::Document(reply)) => {
-                    let _ = reply.send(self.show_document());
+                    let _ = reply.send(self.document_reading());
                 }
                 None => {}
             }
         }
         for ticket in output.lost_reads {
-            match self.confirming.remove(&ticket) {
+            match self.pending_reads.remove(&ticket) {
                 Some(UnconfirmedRead::Heartbeats(batches)) => {
                     batches.into_iter().for_each(refuse_batch);
                 }
@@ -326,40 +345,42 @@
         Ok(())
     }
 
-    /// As leader: proposes admissions, removals and placements that are due.
-    fn care_for_members(&mut self) {
+    /// As leader, proposes the admissions, removals and placements that are due, unless earlier
+    /// proposals of its own are open.
+    fn propose_due_changes(&mut self) {
         if !self.node.is_leader() || !self.own_proposals.is_empty() {
             return;
         }
-        self.newcomers = false;
+        self.admission_due = false;
         let now = self.clock.now();
         let Some(ledger) = &mut self.ledger else {
             return;
         };
         let mut commands = ledger.due_commands(now, &self.catalog);
         let live = ledger.live_members(now, &self.catalog);
-        self.care_for_voters(&live);
+        self.propose_voter_change(&live);
         self.unplaced
             .retain(|group| self.catalog.group(group).is_none());
         let unplaced: Vec<GroupName> = self.unplaced.iter().cloned().collect();
-        let present = PlacementInput {
+        let input = PlacementInput {
             revision: self.catalog.revision(),
             live,
             unplaced,
         };
-        if self.settled.as_ref() != Some(&present) {
-            let plans = plan_placements(&self.catalog, &present.live, &present.unplaced);
-            let is_settled = plans.is_empty();
+        if self.last_unchanged_input.as_ref() != Some(&input) {
+            let plans = plan_placements(&self.catalog, &input.live, &input.unplaced);
+            let is_unchanged = plans.is_empty();
             commands.extend(plans.into_iter().map(CatalogCommand::PlaceGroup));
-            self.settled = is_settled.then_some(present);
+            self.last_unchanged_input = is_unchanged.then_some(input);
         }
         for command in commands {
             self.propose(&command, None);
         }
     }
 
-    /// Starts a ledger on becoming leader and drops it, with all that waits, on ceasing to be.
-    fn follow_role(&mut self) {
+    /// Creates a lease ledger on becoming leader; on losing the leadership drops it and answers the
+    /// waiting commands as unknown.
+    fn handle_role_change(&mut self) {
         let timing = &self.settings.timing;
         if self.node.is_leader() {
             if self.ledger.is_none() {
@@ -380,7 +401,7 @@
                 term = self.node.term()
             );
             self.own_proposals.clear();
-            for (_, waiting) in std::mem::take(&mut self.commands) {
+            for (_, waiting) in std::mem::take(&mut self.waiting_commands) {
                 if let Some(reply) = waiting.reply {
                     let _ = reply.send(CommandReply::Unknown);
                 }
@@ -388,11 +409,12 @@
         }
     }
 
+    /// Replaces the log by a snapshot once enough applied entries have accumulated.
     async fn compact(&mut self) -> Result<(), ControlFault> {
         let applied = self.node.commit_index();
-        // Entries that aren't committed yet must stay, however many they are.
-        let covered = applied.0.saturating_sub(self.compacted);
-        if covered < COMPACT_ENTRIES {
+        // Uncommitted entries must stay, however many there are.
+        let covered = applied.0.saturating_sub(self.compacted_index);
+        if covered < COMPACTION_THRESHOLD_ENTRIES {
             return Ok(());
         }
         let compacted = self.node.compact(applied, self.catalog.to_snapshot());
@@ -400,7 +422,7 @@
             log_event!(Level::Error, "compaction_refused", error = error);
             return Ok(());
         }
-        self.compacted = applied.0;
+        self.compacted_index = applied.0;
         let output = self.node.take_output();
         let records = self.node.durable_state().to_records();
         self.log_bytes = self
@@ -408,12 +430,13 @@
             .rewrite(records)
             .await
             .ok_or_else(writer_ended)?;
-        self.take_output(output)?;
+        self.apply_output(output)?;
         log_event!(Level::Info, "log_compacted", bytes = self.log_bytes);
         Ok(())
     }
 
-    fn identify(&self) -> ControlIdentity {
+    /// Returns which voter this VM is and which control VMs it knows.
+    fn control_identity(&self) -> ControlIdentity {
         let id = self.node.id();
         ControlIdentity {
             id: MemberId {
@@ -427,6 +450,7 @@
         }
     }
 
+    /// Forms the first voter set; returns false if the agreed log refuses it.
     fn form(&mut self, voters: &[MemberId]) -> bool {
         let voters = voters.iter().map(|id| VoterId {
             vm: id.vm.clone(),
@@ -435,6 +459,7 @@
         self.node.form(voters.collect()).is_ok()
     }
 
+    /// Returns the role's state as it appears in an operator's dump.
     fn dump(&self) -> serde_json::Value {
         let leader = self.node.leader().map(|leader| leader.vm.to_string());
         let names = |ids: &[VoterId]| ids.iter().map(ToString::to_string).collect::<Vec<_>>();
@@ -453,7 +478,7 @@
             "answered_changes": self.catalog.answered_changes(),
             "members": self.catalog.members().count(),
             "groups": self.catalog.groups().count(),
-            "commands_waiting": self.commands.len(),
+            "commands_waiting": self.waiting_commands.len(),
             "repairs_pending": repairs.collect::<Vec<_>>(),
             "outdated_by": self.node.outdated_by().map(|incarnation| incarnation.0),
         })
@@ -468,12 +493,12 @@
 }
 
 fn writer_ended() -> ControlFault {
-    ControlFault::Disk(io::Error::other("the log's thread has ended"))
+    ControlFault::Disk(io::Error::other("the log writer's thread has ended"))
 }
 
 fn start_node(
     settings: &DaemonSettings,
-    peers: &PeerBook,
+    peers: &PeerTable,
     state: DurableState,
     fresh: VmIncarnation,
 ) -> Result<AgreementNode, ControlFault> {
@@ -484,5 +509,5 @@
     let mut agreement = AgreementSettings::new(id, peers.names(), fresh.0);
     agreement.election_ticks = settings.timing.election_ticks as u32;
     agreement.heartbeat_ticks = settings.timing.agreement_heartbeat_ticks as u32;
-    AgreementNode::start(agreement, state).map_err(|error| ControlFault::Foreign(error.to_string()))
+    AgreementNode::start(agreement, state).map_err(|error| ControlFault::OtherVm(error.to_string()))
 }
--- a/crates/daemon/src/control/peers.rs
+++ b/crates/daemon/src/control/peers.rs
@@ -1,8 +1,9 @@
-//! The other control VMs: where they are, and the messages on their way to them.
+//! The addresses of the other control VMs, and the messages to them.
 //!
-//! Nobody lists the control VMs. This VM learns of them from the settings, from whoever speaks to
-//! it, from the catalog, and at its start from its own log, since after a restart of all control
-//! VMs at once no catalog is known before they have found each other.
+//! No setting has to list all control VMs. This VM learns their addresses from the settings, from
+//! the messages that it receives, from the catalog, and at its start from its own log: after a
+//! restart of all control VMs at once, there is no catalog to read until they have found each
+//! other.
 
 use super::ControlTask;
 use crate::log_event;
@@ -28,23 +29,23 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Messages that may wait for one peer. Older ones are worthless once newer ones are due, and the
-/// agreed log sends again what it needs.
-const PEER_QUEUE: usize = 256;
+/// The largest number of messages that wait for one peer. Newer messages make older ones obsolete,
+/// and the agreed log repeats what it needs.
+const PEER_QUEUE_CAPACITY: usize = 256;
 
-/// The control VMs that this one knows, without itself.
-pub(super) struct PeerBook {
+/// The known control VMs other than this one.
+pub(super) struct PeerTable {
     own: VmName,
     entries: BTreeMap<VmName, PeerEntry>,
 }
 
 struct PeerEntry {
     address: SocketAddr,
-    /// The queue of the task that sends to this address; none before the first message.
+    /// The queue of the task that sends to this address; `None` before the first message.
     queue: Option<mpsc::Sender<AgreementEnvelope>>,
 }
 
-impl PeerBook {
+impl PeerTable {
     pub(super) fn new(settings: &DaemonSettings) -> Self {
         let mut book = Self {
             own: settings.vm.clone(),
@@ -56,8 +57,8 @@
         book
     }
 
-    /// Learns what the log's entries say of members, committed or not: a wrong address only costs a
-    /// vain message.
+    /// Learns the members in the log's snapshot and entries, committed or not; a wrong address only
+    /// costs a message that arrives nowhere.
     pub(super) fn learn_from_log(&mut self, state: &DurableState) {
         if let Some(snapshot) = state.snapshot()
             && let Ok(catalog) = CatalogState::from_snapshot(&snapshot.data)
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Notes where a control VM is and says whether that is new.
+    /// Records a control VM's address and returns whether it is new.
     pub(super) fn learn(&mut self, vm: &VmName, address: SocketAddr) -> bool {
         let known = self
             .entries
@@ -115,14 +116,15 @@
         self.entries.get(vm).map(|entry| entry.address)
     }
 
-    /// Ends the sending tasks.
+    /// Ends the sending tasks by closing their queues.
     pub(super) fn close(&mut self) {
         self.entries.clear();
     }
 }
 
 impl ControlTask {
-    pub(super) fn take_envelope(&mut self, envelope: &AgreementEnvelope) {
+    /// Learns the sender's address and passes its message to the agreed log.
+    pub(super) fn handle_envelope(&mut self, envelope: &AgreementEnvelope) {
         if let Some(address) = envelope.from_address {
             self.learn_peer(&envelope.from, address);
         }
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Learns from the catalog where the members with the control role are.
+    /// Learns from the catalog the addresses of the members with the control role.
     pub(super) fn learn_members(&mut self) {
         let members = self
             .catalog
@@ -166,6 +168,7 @@
         }
     }
 
+    /// Queues a message for a peer, whose sending task starts with the first one.
     pub(super) fn send_message(&mut self, to: &VmName, message: &AgreementMessage) {
         let envelope = AgreementEnvelope {
             from: self.settings.vm.clone(),
@@ -178,24 +181,24 @@
             return;
         };
         let queue = entry.queue.get_or_insert_with(|| {
-            let (sender, queue) = mpsc::channel(PEER_QUEUE);
+            let (sender, queue) = mpsc::channel(PEER_QUEUE_CAPACITY);
             let links = self.links.clone();
             self.children
                 .spawn(send_messages(links, entry.address, limit, queue));
             sender
         });
-        // A full queue drops the newest message, which the agreed log sends again.
+        // A full queue drops the newest message, which the agreed log repeats.
         let _ = queue.try_send(envelope);
     }
 
-    /// Returns where the leader is, if it's another VM whose address is known.
+    /// Returns the leader's address, if the leader is another VM and its address is known.
     pub(super) fn leader_address(&self) -> Option<SocketAddr> {
         let leader = self.node.leader()?;
         self.peers.address(&leader.vm)
     }
 }
 
-/// Sends one peer's messages in their order; a peer that doesn't answer costs only its own queue.
+/// Sends one peer's messages in order; a peer that doesn't answer delays only its own queue.
 async fn send_messages(
     links: PeerLinks,
     address: SocketAddr,
@@ -205,8 +208,8 @@
     while let Some(envelope) = queue.recv().await {
         let call = |client: Arc<WsClient>| async move { client.agree(envelope).await };
         if links.call(address, limit, call).await.is_err() {
-            // What has gathered meanwhile is out of date: the peer needs the present state, not a
-            // replay of the time in which it was silent.
+            // The messages queued meanwhile are obsolete: the peer needs the present state, not a
+            // replay of the time in which it did not answer.
             while queue.try_recv().is_ok() {}
         }
     }
--- a/crates/daemon/src/control/pieces.rs
+++ b/crates/daemon/src/control/pieces.rs
@@ -1,4 +1,5 @@
-//! Pieces of the catalog, made once for all members that ask for the same.
+//! Serves pieces of the catalog to members that transfer it, and caches the packed pieces, since
+//! many members request the same ones.
 
 use super::ControlTask;
 use crate::log_event;
@@ -10,37 +11,38 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Packed pieces that are kept. A catalog of 710 groups has about ten; members that began at different
-/// revisions ask for different ones.
-const MOST_PIECES: usize = 64;
+/// The largest number of cached pieces. A catalog of 710 groups has about ten, and members that
+/// started at different revisions request different ones.
+const MAX_CACHED_PIECES: usize = 64;
 
-/// A kept piece is made anew after so many revisions. It stays true: what changed since comes with a
-/// later piece, but then it is sent twice.
-const PIECE_REVISIONS: u64 = 64;
+/// The number of catalog revisions after which a cached piece is packed again. An older piece is
+/// still correct, because later pieces bring the changes since, but these items are then sent
+/// twice.
+const MAX_PIECE_AGE_REVISIONS: u64 = 64;
 
-/// Packed pieces, by what was asked.
+/// The cached pieces, by request.
 #[derive(Default)]
-pub(super) struct PieceShelf {
-    pieces: BTreeMap<PieceRequest, KeptPiece>,
+pub(super) struct PieceCache {
+    pieces: BTreeMap<PieceRequest, CachedPiece>,
 }
 
-struct KeptPiece {
+struct CachedPiece {
     made_at: CatalogRevision,
     packed: Arc<str>,
 }
 
-impl PieceShelf {
-    /// Returns a packed piece, made now or before; `None` if it can't be packed.
-    pub(super) fn find_or_make(
+impl PieceCache {
+    /// Returns a packed piece, from the cache or packed now; `None` if it can't be packed.
+    pub(super) fn get_or_pack(
         &mut self,
         request: PieceRequest,
         catalog: &CatalogState,
     ) -> Option<Arc<str>> {
         let present = catalog.revision();
-        if let Some(kept) = self.pieces.get(&request)
-            && present.0.saturating_sub(kept.made_at.0) < PIECE_REVISIONS
+        if let Some(cached) = self.pieces.get(&request)
+            && present.0.saturating_sub(cached.made_at.0) < MAX_PIECE_AGE_REVISIONS
         {
-            return Some(Arc::clone(&kept.packed));
+            return Some(Arc::clone(&cached.packed));
         }
         let piece = catalog.next_piece(&request);
         let packed: Arc<str> = match pack_piece(&piece) {
@@ -50,24 +52,25 @@
                 return None;
             }
         };
-        // The last piece ends at a revision that soon is an old one, and is quickly made.
+        // The last piece is not cached: its end is a revision that is soon outdated, and it is
+        // quickly packed.
         if piece.next.after.is_some() {
-            if self.pieces.len() >= MOST_PIECES {
+            if self.pieces.len() >= MAX_CACHED_PIECES {
                 self.pieces.clear();
             }
-            let kept = KeptPiece {
+            let cached = CachedPiece {
                 made_at: present,
                 packed: Arc::clone(&packed),
             };
-            self.pieces.insert(request, kept);
+            self.pieces.insert(request, cached);
         }
         Some(packed)
     }
 }
 
 impl ControlTask {
-    /// Returns the next piece for a member's transfer.
+    /// Returns the next piece for a member's transfer of the catalog.
     pub(super) fn read_catalog(&mut self, request: PieceRequest) -> Option<Arc<str>> {
-        self.pieces.find_or_make(request, &self.catalog)
+        self.piece_cache.get_or_pack(request, &self.catalog)
     }
 }
--- a/crates/daemon/src/control/voters.rs
+++ b/crates/daemon/src/control/voters.rs
@@ -1,4 +1,5 @@
-//! Which control VMs vote: all of them, and those that are gone for good no more.
+//! Maintains the voters of the agreed log: admits control VMs up to a limit, and removes voters
+//! that are lost for good where that makes the majority smaller.
 
 use super::ControlTask;
 use crate::log_event;
@@ -7,44 +8,46 @@
 use ragwort_types::VmName;
 use std::collections::BTreeSet;
 
-/// The most voters of the agreed log. Each more makes every change wait for one more disk, and nine
-/// survive no loss that seven don't survive in practice.
-const MOST_VOTERS: usize = 7;
+/// The largest number of voters. Each further voter makes every change wait for one more disk, and
+/// in practice nine voters survive no loss that seven don't survive.
+const MAX_VOTERS: usize = 7;
 
 impl ControlTask {
-    /// As leader: lets control VMs that are no voters join, and removes a lost one that was replaced.
-    pub(super) fn care_for_voters(&mut self, live: &BTreeSet<VmName>) {
-        if let Some(vm) = self.find_joiner(live) {
+    /// As leader, admits a control VM that isn't a voter, or else removes a lost voter that was
+    /// replaced.
+    pub(super) fn propose_voter_change(&mut self, live: &BTreeSet<VmName>) {
+        if let Some(vm) = self.find_voter_to_admit(live) {
             let admitted = self.node.admit_vm(vm.clone()).is_ok();
             log_event!(Level::Info, "voter_expected", vm = vm, proposed = admitted);
-        } else if let Some(vm) = self.find_lost_voter(live) {
+        } else if let Some(vm) = self.find_voter_to_remove(live) {
             let removed = self.node.remove_vm(&vm).is_ok();
             log_event!(Level::Warn, "voter_removed", vm = vm, proposed = removed);
         }
     }
 
-    fn find_joiner(&self, live: &BTreeSet<VmName>) -> Option<VmName> {
+    /// Finds a live control VM outside the set, unless the set is full.
+    fn find_voter_to_admit(&self, live: &BTreeSet<VmName>) -> Option<VmName> {
         let count = self.node.voters().len() + self.node.learners().len();
-        if count >= MOST_VOTERS {
+        if count >= MAX_VOTERS {
             return None;
         }
         let mut members = self
             .catalog
             .members()
             .filter(|member| member.traits.control);
-        let joiner = members.find(|member| {
+        let admissible = members.find(|member| {
             let vm = &member.id.vm;
             live.contains(vm) && !self.node.is_member(vm) && !member.draining
         });
-        joiner.map(|member| member.id.vm.clone())
+        admissible.map(|member| member.id.vm.clone())
     }
 
-    /// Finds a voter whose VM has left the catalog, where its removal costs nothing.
+    /// Finds a voter whose VM has left the catalog and whose removal weakens nothing.
     ///
-    /// A set of even size survives no more losses than one that is smaller by one, so a lost voter
-    /// that was replaced only makes the majority larger. In a set of odd size it may as well come
-    /// back.
-    fn find_lost_voter(&self, live: &BTreeSet<VmName>) -> Option<VmName> {
+    /// A set of even size survives no more losses than a set that is smaller by one, so a lost
+    /// voter that was replaced only enlarges the majority. In a set of odd size it stays and may
+    /// return.
+    fn find_voter_to_remove(&self, live: &BTreeSet<VmName>) -> Option<VmName> {
         let voters = self.node.voters();
         let even = voters.len().is_multiple_of(2);
         if !even || voters.len() <= self.settings.least_voters() || !self.node.learners().is_empty()
