--- a/crates/daemon/tests/native/takeover.rs
+++ b/crates/daemon/tests/native/takeover.rs
@@ -1,4 +1,5 @@
-//! What a leaseholder knows when it takes a group over.
+//! Change of a group's leaseholder: takeover by noted endpoints, handover, lapse of the lease and the end
+//! of the task.
 
 use crate::bench::Ask;
 use crate::bench::NativeBench;
@@ -14,50 +15,49 @@
 use ragwort_types::TransactionStep;
 
 failure_cases! {
-    /// A leaseholder's VM dies, and another takes the group over before any endpoint has announced
-    /// itself to it. A caller's write needn't wait for that.
+    /// A leaseholder's VM dies, and another one takes the group over before any endpoint has announced
+    /// itself there. Writes are served by the noted endpoints without waiting for announcements.
     noted_endpoints_serve_before_they_announce_themselves => noted_case();
-    /// A primary was replaced behind a cut, and answers the new leaseholder first. What is written
-    /// there is lost with it, so nothing is sent to it.
+    /// A primary was replaced during a network partition, and answers the new leaseholder first. Writes to
+    /// it would be lost, so none are sent there.
     noted_term_keeps_writes_from_a_replaced_primary => replaced_case();
-    /// A rack is lost, with the leaseholder's VM and the primary. The next leaseholder finds nobody where
-    /// the primary was, and replaces it without waiting for the time in which one that lives would
-    /// announce itself: callers can't write for so long.
+    /// A rack fails with the leaseholder's VM and the primary. The next leaseholder can't reach the noted
+    /// primary, and replaces it without waiting for the time in which a live one would announce itself.
+    /// Callers couldn't write during that time.
     noted_primary_that_is_dead_is_replaced => dead_noted_case();
-    /// A VM hands its groups over, and a clerk has a transaction open for a second. Other callers' single
-    /// statements are served meanwhile; they would be refused though nothing is wrong. No new transaction
-    /// is opened, and when the last one has ended the group moves.
-    handover_serves_single_statements_to_its_last_moment => handover_case();
-    /// A VM drains, a transaction goes on for longer than it may, and the group is handed over while its
-    /// commit is under way. The successor learns how far the primary is before the commit is done. Were the
-    /// commit acknowledged here, the successor would let replicas serve that lack it, for as long as nobody
-    /// writes: a foreman would see a shelf as it was.
+    /// A VM hands its groups over while a transaction stays open for a second. Single statements of other
+    /// callers are served meanwhile instead of being refused for that time. No new transaction is opened,
+    /// and the group moves when the last one has ended.
+    handover_serves_single_statements_until_transactions_end => handover_case();
+    /// A VM drains, a transaction exceeds its time limit, and the group is handed over while the commit is
+    /// under way. The successor may read the primary's position before the commit is done. If the commit
+    /// were acknowledged here, the successor would let replicas without it serve reads until the next write.
     commit_that_outlasts_a_handover_is_in_doubt => outlasting_case();
-    /// The same, and the commit comes only when the group was handed over: it isn't run.
+    /// As above, but the commit arrives after the group was handed over. It isn't run.
     commit_after_a_handover_is_not_run => late_commit_case();
-    /// Endpoints announce themselves. What is known of them is noted once, for a successor, and not
-    /// with each announcement: a note goes to every VM.
+    /// Endpoints announce themselves repeatedly. They are noted in the catalog once and not with each
+    /// announcement, since a note goes to every VM.
     endpoints_are_noted_once => noting_case();
-    /// An instance crashes and starts again under its name, and counts its announcements from one. Its
-    /// leaseholder would take them for late ones, and go on using connections that are gone: reads
-    /// sent there fail one by one until the count has caught up, minutes later.
-    restarted_instance_is_taken_as_new => restarted_case();
-    /// An announcement of an instance's former process comes late, after it has started again. Taken
-    /// for news, it would bring back a state that is over: here, that the instance is leaving.
+    /// An instance crashes, starts again under its name, and numbers its announcements from one. A
+    /// leaseholder that took them for stale ones would go on using the broken connections. Reads sent there
+    /// would fail one by one until the numbers have caught up, minutes later.
+    restarted_instance_is_treated_as_new => restarted_case();
+    /// An announcement of an instance's former process arrives after its restart. If it were applied, it
+    /// would restore an outdated state: here, that the instance is leaving.
     late_announcement_of_a_former_process_changes_nothing => former_process_case();
-    /// A leaseholder is starved and its lease lapses for a moment, while the first write of a transaction
-    /// runs at the endpoint. Told that nobody led the group, the gateway would hand the write over once more
-    /// when the lease is back: it would run a second time, beside a transaction that nobody ends. The caller
-    /// is told that the transaction is lost, and the endpoint rolls it back.
+    /// A leaseholder is starved of CPU time, and its lease lapses for a moment while the first write of a
+    /// transaction runs at the endpoint. On a refusal with `NoLease` the gateway would submit the write
+    /// again once the lease is back. It would run a second time, beside a transaction that nobody ends. So
+    /// the caller is told that the transaction is lost, and the endpoint rolls it back.
     write_that_outlasts_a_lease_runs_once => lapsed_case(TransactionStep::Begin, "begin");
-    /// The same for a later write of a transaction.
+    /// As above, for a later write of a transaction.
     later_write_that_outlasts_a_lease_loses_its_transaction => lapsed_case(TransactionStep::Within, "write record");
-    /// A group went to another VM and came back before its task looked. It went on with what it knew, and let
-    /// replicas serve reads that lacked the other's writes.
-    group_that_was_led_elsewhere_meanwhile_begins_anew => away_case();
-    /// A leaseholder hands its group over, and statements reach its task while that ends. They wait in the
-    /// task's queue, which ends with it. A clerk whose write gets no answer is told that it may have run, and
-    /// can't send it again, though nobody has run it.
+    /// A group moved to another VM and back before its task saw the first move. The task went on with its
+    /// old positions, and let replicas serve reads without the writes that the other VM had acknowledged.
+    skipped_epoch_ends_the_leaseholder_task => skipped_epoch_case();
+    /// Statements reach a leaseholder's task while it ends, and wait in its queue. If the queue were dropped,
+    /// their callers would be told that the writes may have run, and couldn't repeat them, though none has
+    /// run.
     statement_that_meets_an_ending_leaseholder_is_answered => ending_case();
 }
 
@@ -76,7 +76,7 @@
     let mut leaving = bench.describe_process(1, 1_000, 40);
     leaving.status.leaving = true;
     bench.announce_as(leaving).await;
-    bench.settle_around(1).await;
+    bench.settle_without(1).await;
     bench.wait_for(|dump| is_leaving(dump, 1)).await;
     let opened = count_opens(&bench, 1);
     bench.announce_as(bench.describe_process(1, 2_000, 1)).await;
@@ -84,18 +84,18 @@
     bench
         .wait_for(|dump| dump["connections"]["cases-2"].as_u64() > Some(0))
         .await;
-    // The leaseholder counts a connection from when it begins to open it.
+    // The dump also counts connections that are still being opened.
     wait_until(|| count_opens(&bench, 1) > opened).await;
 }
 
 async fn former_process_case() {
     let mut bench = NativeBench::start([5, 5, 5]).await;
     bench.announce_as(bench.describe_process(1, 2_000, 1)).await;
-    bench.settle_around(1).await;
+    bench.settle_without(1).await;
     let mut late = bench.describe_process(1, 1_000, 40);
     late.status.leaving = true;
     bench.announce_as(late).await;
-    // What is announced next is taken in after it.
+    // Announcements are handled in order, so this one shows that the late one was handled.
     bench.announce(2, true).await;
     bench.wait_for(|dump| is_leaving(dump, 2)).await;
     bench.wait_for(|dump| !is_leaving(dump, 1)).await;
@@ -138,7 +138,7 @@
     assert_eq!(refused.verdict, expected);
     let end = Ask::new(WRITE, "COMMIT").step(TransactionStep::Commit(open));
     assert!(is_served(&bench.ask(end).await));
-    // From then on nothing is taken in, until the next leaseholder answers.
+    // After the last transaction has ended, all statements are refused.
     while is_served(&bench.ask(Ask::new(WRITE, "write late")).await) {}
     let refused = bench.ask(Ask::new(WRITE, "write later")).await;
     assert_eq!(refused.verdict, expected);
@@ -190,7 +190,7 @@
     bench.wait_for_notes(2).await;
 }
 
-async fn away_case() {
+async fn skipped_epoch_case() {
     let mut bench = NativeBench::start([5, 5, 5]).await;
     bench.settle().await;
     bench.change_epoch(2);
@@ -203,14 +203,16 @@
     let mut bench = NativeBench::start([5, 5, 5]).await;
     bench.settle().await;
     bench.place_elsewhere();
-    let asks = (0..64).map(|_| Ask::new(WRITE, "write late"));
-    let replies: Vec<_> = asks.filter_map(|ask| bench.try_send(ask)).collect();
+    let statements = (0..64).map(|_| Ask::new(WRITE, "write late"));
+    let replies: Vec<_> = statements
+        .filter_map(|statement| bench.try_send(statement))
+        .collect();
     let mut doubts = 0;
     for reply in replies {
         let verdict = reply.await.expect("the statement is answered").verdict;
         match verdict {
             RequestVerdict::NotRun(_) => {}
-            // It was taken in and dispatched before the change was seen.
+            // It was dispatched before the task saw the new placement.
             RequestVerdict::MayHaveRun(DoubtCause::LeaseLost) => doubts += 1,
             verdict => panic!("{verdict:?}"),
         }
@@ -218,7 +220,7 @@
     assert!(bench.count_runs("write late") <= doubts);
 }
 
-async fn lapsed_case(create: fn(TransactionId) -> TransactionStep, held: &str) {
+async fn lapsed_case(create: fn(TransactionId) -> TransactionStep, withheld: &str) {
     let mut bench = NativeBench::start([5, 5, 5]).await;
     bench.settle().await;
     let open = TransactionId::fresh();
@@ -229,13 +231,13 @@
     }
     bench.endpoints[0].script().silent = true;
     let reply = bench.send(Ask::new(WRITE, "write record").step(step)).await;
-    bench.wait_for_any_held(held).await;
-    bench.lapse();
+    bench.wait_for_any_withheld(withheld).await;
+    bench.end_lease();
     bench.endpoints[0].script().silent = false;
     let lost = RequestVerdict::refused(RefusalCause::TransactionLost, 0);
     assert_eq!(reply.await.unwrap().verdict, lost);
     bench.wait_for(|dump| dump["transactions"] == 0).await;
-    bench.regain();
+    bench.renew_lease();
     let commit = Ask::new(WRITE, "COMMIT").step(TransactionStep::Commit(open));
     assert_eq!(bench.ask(commit).await.verdict, lost);
     assert_eq!(bench.count_runs("COMMIT"), 0);
