--- a/crates/daemon/src/native/mod.rs
+++ b/crates/daemon/src/native/mod.rs
@@ -13,7 +13,7 @@
 //!
 //! - `intake` checks it, determines the log position that it must see and queues it at the scheduler;
 //! - `dispatch` picks a connection and lists the session state to replay there;
-//! - [`link`] sends the commands and reads the answers;
+//! - `link` sends the commands and reads the answers;
 //! - `outcomes` derives the verdict that the caller gets, and `faults` that of an endpoint's fault.
 //!
 //! `primary` tracks the instances' roles and replaces a failed or leaving primary, `handover` moves
