--- a/crates/types/src/account.rs
+++ b/crates/types/src/account.rs
@@ -1,4 +1,5 @@
-//! Client accounts: who may call, by which keys, and how much.
+//! Client accounts: their API keys and rate limits, and the messages by which VMs divide an
+//! account's rate limit among themselves.
 
 use crate::AccountName;
 use crate::GroupName;
@@ -10,23 +11,23 @@
 use smallvec::SmallVec;
 use std::fmt;
 
-/// A secret by which a caller shows whose account it works for. It is never logged or dumped.
+/// A secret that authenticates a caller as belonging to an account. It is never logged or dumped.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(transparent)]
 pub struct AccountKey(String);
 
 impl AccountKey {
-    /// Takes a key as its holder writes it.
+    /// Creates a key from its text.
     pub fn new(text: impl Into<String>) -> Self {
         Self(text.into())
     }
 
-    /// Returns the secret itself.
+    /// Returns the secret text.
     pub fn as_secret(&self) -> &str {
         &self.0
     }
 
-    /// Says whether there is no key at all.
+    /// Returns whether the key is the empty text.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -40,75 +41,76 @@
 
 impl<'de> Deserialize<'de> for AccountKey {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        // The fault itself would quote what was found.
+        // The original error is dropped, because it would quote the input.
         let text = String::deserialize(deserializer);
         text.map(Self)
-            .map_err(|_| D::Error::custom("a key is a text"))
+            .map_err(|_| D::Error::custom("expected a key as a string"))
     }
 }
 
-/// Reads a list of keys.
+/// Deserializes a list of keys.
 ///
 /// # Errors
 ///
-/// Returns a fault that doesn't quote what was found in place of the list: it may be a key.
+/// Returns an error that does not quote the invalid input, which may contain a key.
 pub fn deserialize_keys<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Vec<AccountKey>, D::Error> {
     let keys = Vec::deserialize(deserializer);
-    keys.map_err(|_| D::Error::custom("keys are a list of texts"))
+    keys.map_err(|_| D::Error::custom("expected keys as a list of strings"))
 }
 
-/// A client account, as an operator writes it.
+/// A client account, as configured by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClientAccount {
-    /// The account's name, which endpoints are told.
+    /// The account's name, which is passed to endpoints.
     pub name: AccountName,
-    /// The keys of its callers; without any, nobody works for it.
+    /// The keys that authenticate its callers; with an empty list, no caller can use the account.
     #[serde(deserialize_with = "deserialize_keys")]
     pub keys: Vec<AccountKey>,
-    /// How much it may ask for; no limit if none.
+    /// Its rate limit; `None` means unlimited.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limit: Option<AccountLimit>,
 }
 
-/// How many operations an account may begin, over all gateways together.
+/// A token-bucket limit on the operations that an account may begin, for all gateways together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AccountLimit {
-    /// Operations in a thousand seconds, so that a rate needn't be whole.
+    /// The sustained rate in operations per 1,000 seconds, which allows fractions of an operation
+    /// per second.
     pub per_thousand_seconds: u64,
-    /// Operations beyond the rate that may begin at once.
+    /// The number of operations beyond the rate that may begin at once.
     pub burst: u64,
 }
 
 impl AccountLimit {
-    /// Returns the rate, in operations a second.
+    /// Returns the rate in operations per second.
     pub fn rate(&self) -> f64 {
         self.per_thousand_seconds as f64 / 1_000.0
     }
 }
 
-/// Which callers a contract takes.
+/// The callers that a contract admits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallerRule {
-    /// Everybody; one that shows an account's key works for that account.
+    /// All callers; one that presents an account's key uses that account.
     #[default]
     Anyone,
-    /// Only those that show an account's key.
+    /// Only callers that present an account's key.
     KeyHolders,
 }
 
 impl CallerRule {
-    /// Says whether everybody is taken.
+    /// Returns whether all callers are admitted.
     pub fn is_open(&self) -> bool {
         *self == Self::Anyone
     }
 }
 
-/// A part of an account's rate, in millionths.
+/// A share of an account's rate, in millionths.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -119,85 +121,86 @@
     /// The whole rate.
     pub const WHOLE: Self = Self(1_000_000);
 
-    /// Returns it as a fraction.
+    /// Returns the share as a fraction between 0 and 1.
     pub fn fraction(self) -> f64 {
         f64::from(self.0) / f64::from(Self::WHOLE.0)
     }
 
-    /// Returns the share that a fraction of the rate is, rounded down; never more than the whole.
+    /// Creates a share from a fraction, clamped to the range from 0 to 1 and rounded down.
     pub fn of_fraction(fraction: f64) -> Self {
         Self((fraction.clamp(0.0, 1.0) * f64::from(Self::WHOLE.0)) as u32)
     }
 }
 
-/// What a VM asks of the VM that keeps the ledger of some accounts.
+/// A VM's request for shares of rate limits, sent to the VM that keeps the accounts' ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitRequest {
-    /// The process that asks.
+    /// The requesting process.
     pub holder: MemberId,
-    /// For how long it has run, in milliseconds.
+    /// The requesting process's uptime, in milliseconds.
     pub age_ms: u64,
-    /// Groups at whose leaseholder it has declared with this request all shares that it holds.
+    /// The groups to whose leaseholder this request declares all shares that the process holds.
     pub declared: Vec<GroupName>,
-    /// The accounts.
+    /// One entry for each account.
     pub accounts: Vec<AccountNeed>,
 }
 
-/// What a VM needs of one account's limit.
+/// A VM's current share of one account's limit, and its demand.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountNeed {
     /// The account.
     pub account: AccountName,
-    /// The share of the rate that the VM holds now.
+    /// The share of the rate that the VM holds at present.
     pub holds: RateShare,
-    /// The operations that are asked for there in a thousand seconds.
+    /// The rate at which callers request operations at this VM, in operations per 1,000 seconds.
     pub demand: u64,
-    /// Operations that wait, or will soon, beyond what the share allows.
+    /// The number of operations beyond the share that are waiting or soon will be.
     pub wants: u32,
 }
 
-/// The answer to a [`LimitRequest`]: a grant for each account whose ledger is kept here.
+/// The reply to a [`LimitRequest`], with a grant for each account whose ledger the VM keeps.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitReply {
-    /// The grants.
+    /// The granted shares and operations, by account.
     pub grants: Vec<AccountGrant>,
-    /// The groups of which a declaration was taken. A VM that doesn't know yet that it leads a group
-    /// takes none, and it must be declared again.
+    /// The groups for which the declaration was accepted. A VM that does not yet know that it leads
+    /// a group omits it, and the sender must declare its shares again.
     pub declared: Vec<GroupName>,
 }
 
-/// What a ledger lends of one account's limit.
+/// A ledger's grant of a part of one account's limit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountGrant {
     /// The account.
     pub account: AccountName,
-    /// The share of the rate that the VM holds from now on, in place of what it held.
+    /// The share of the rate that replaces the VM's previous one.
     pub share: RateShare,
-    /// Single operations, to be begun at once.
+    /// The number of additional operations that the VM may begin immediately.
     pub operations: u32,
 }
 
-/// The secret under which keys are digested, so that digests can't be looked up in a table.
+/// The secret for the keyed hash of account keys, which prevents looking up digests in a
+/// precomputed table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct DigestSeal(pub [u8; 16]);
 
-/// What VMs hold in place of a key.
+/// The keyed hash of an account key; VMs store it instead of the key.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct KeyDigest(pub [u8; 16]);
 
-/// An account as VMs know it.
+/// An account as it is distributed to VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountTerms {
-    /// Its name.
+    /// The account's name.
     pub name: AccountName,
-    /// The secret under which its keys are digested; the same for all accounts.
+    /// The secret under which its keys are hashed; all accounts have the same one.
     pub seal: DigestSeal,
-    /// Its keys' digests.
+    /// The digests of its keys.
     pub keys: SmallVec<[KeyDigest; 2]>,
-    /// How much it may ask for.
+    /// Its rate limit; `None` means unlimited.
     pub limit: Option<AccountLimit>,
 }
--- a/crates/types/src/catalog.rs
+++ b/crates/types/src/catalog.rs
@@ -1,4 +1,7 @@
-//! What the agreed log holds: its commands, their outcomes, and the items members learn.
+//! The replicated catalog: its commands, their outcomes, and the records that members receive.
+//!
+//! The control VMs agree on a log of [`CatalogCommand`]s. Applying them in order yields the catalog
+//! of contracts, members, groups and accounts, which every member copies through [`CatalogDelta`]s.
 
 use crate::AccountName;
 use crate::AccountTerms;
@@ -24,36 +27,36 @@
 use smallvec::SmallVec;
 use std::net::SocketAddr;
 
-/// The standbys of a group; two are usual.
+/// The standbys of a group, usually two.
 pub type StandbyList = SmallVec<[VmName; 2]>;
 
 /// A change to the catalog, as an entry of the agreed log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CatalogCommand {
-    /// An operator changes a contract.
+    /// Changes a contract, on behalf of an operator.
     ApplyContract(ContractChange),
-    /// An operator replaces the whole configuration.
+    /// Replaces the whole configuration, on behalf of an operator.
     ApplyDocument(Box<ContractDocument>),
-    /// A VM joins, or returns with a new process.
+    /// Adds a VM as a member, or replaces its record after a restart.
     AdmitMember(MemberRecord),
-    /// A VM's lease has ended, or it drained. Refused if another process has joined under the
-    /// name meanwhile.
+    /// Removes a VM whose lease has expired or that has drained. Refused if a newer process of the
+    /// same VM has joined in the meantime.
     RemoveMember(MemberId),
-    /// A group gets a leaseholder and standbys.
+    /// Assigns a leaseholder and standbys to a group.
     PlaceGroup(GroupPlacement),
-    /// An instance is counted in its group's majority from now on.
+    /// Counts an instance in its group's majority.
     AddInstance(InstanceChange),
-    /// An instance is not counted in its group's majority any more.
+    /// Stops counting an instance in its group's majority.
     RemoveInstance(InstanceChange),
-    /// A leaseholder begins a new term, before it fences and promotes.
+    /// Begins a new term; a leaseholder does this before it fences and promotes instances.
     BeginTerm(TermStart),
-    /// A leaseholder has promoted an instance.
+    /// Records the instance that a leaseholder has promoted.
     RecordPrimary(PrimaryRecord),
-    /// A leaseholder is about to order a promotion from a database that keeps terms of its own.
+    /// Issues a fencing token for a promotion, where the database platform keeps its own terms.
     IssueToken(TokenRequest),
-    /// A leaseholder notes which endpoints it knows, for its successor.
+    /// Records the endpoints that a leaseholder knows, for its successor.
     RecordEndpoints(Box<EndpointNotes>),
-    /// A leaseholder's standbys hold its whole journal; it dispatches only from then on.
+    /// Records that a leaseholder's standbys hold its whole journal; it dispatches nothing before.
     ConfirmJournal(JournalMark),
 }
 
@@ -62,51 +65,55 @@
 pub struct MemberId {
     /// The VM.
     pub vm: VmName,
-    /// Raised by each start of the daemon: the start time in microseconds since the Unix epoch.
+    /// The daemon's start time in microseconds since the Unix epoch, which identifies the process.
     pub incarnation: VmIncarnation,
 }
 
-/// A VM that is a member.
+/// The record of a member VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Which VM, and which process of it.
+    /// The VM and its current process.
     pub id: MemberId,
     /// Its failure domain.
     pub domain: DomainName,
-    /// Where it answers other VMs and operators.
+    /// The address at which it serves other VMs and operators.
     pub peer_address: SocketAddr,
-    /// Where it takes statements in compact frames; as remote calls where there is none.
+    /// The address at which it accepts statement frames. Without one, statements are sent to it as
+    /// remote calls.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub statement_address: Option<SocketAddr>,
-    /// The lease for which it asks, in milliseconds; zero asks for the longest. A process never asks
-    /// for less than before: a lease that it holds could outlast what a new leader reads here.
+    /// The requested lease duration, in milliseconds; zero requests the longest. A process never
+    /// requests a shorter one than before: a lease that it still holds could outlast the duration
+    /// that a new control leader reads here.
     #[serde(default)]
     pub lease_ms: u64,
     /// Whether it is shutting down and takes no new groups.
     pub draining: bool,
-    /// What it may be used for, and what is known of its process.
+    /// Its roles, and properties of its process.
     #[serde(default)]
     pub traits: MemberTraits,
 }
 
-/// What a member may be used for, and what is known of its process.
+/// A member's roles, and properties of its process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberTraits {
-    /// Whether it holds the agreed log.
+    /// Whether it holds a copy of the control VMs' replicated log.
     pub control: bool,
-    /// Whether it may lead groups and hold their journals. A VM with a slow processor or a narrow
-    /// link can't carry a group's traffic.
+    /// Whether it may lead groups and hold their journals. A VM with a slow processor or a
+    /// low-bandwidth link can't carry a group's traffic.
     pub leaseholder: bool,
-    /// Whether no other process of the VM can be running: it listens where the former one did.
+    /// Whether no other process of the VM can be running, because each one binds the same
+    /// address exclusively.
     pub exclusive: bool,
 }
 
 impl MemberRecord {
-    /// Says whether this process can take its predecessor's place at once, because that one has
-    /// ended for certain.
+    /// Returns whether this process may replace `former` at once, because `former` has certainly
+    /// ended.
     ///
-    /// Otherwise its lease may run, and two processes would serve one group. Where both listen at
-    /// one address and nothing else may, the later one's being there shows that the former is gone.
+    /// In all other cases the lease of `former` may still be valid, and two processes could serve
+    /// one group. If both bind the same address exclusively, the later process proves that the
+    /// former one has ended.
     pub fn succeeds_at_once(&self, former: &MemberRecord) -> bool {
         let exclusive = self.traits.exclusive && former.traits.exclusive;
         let same_place = self.id.vm == former.id.vm && self.peer_address == former.peer_address;
@@ -124,27 +131,27 @@
     }
 }
 
-/// Which VMs serve a group.
+/// The assignment of a group to a leaseholder and standbys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupPlacement {
     /// The group.
     pub group: GroupName,
-    /// One above the placement that this one replaces.
+    /// The epoch of this placement: one above that of the placement it replaces.
     pub epoch: PlacementEpoch,
-    /// The only VM that sends statements to the group's endpoints.
+    /// The leaseholder: the only VM that sends statements to the group's endpoints.
     pub leaseholder: VmName,
-    /// VMs that hold the journal and take over.
+    /// The VMs that hold copies of the journal and can take over.
     pub standbys: StandbyList,
 }
 
-/// A change of a group's instance set, by its leaseholder.
+/// A change to a group's set of counted instances, requested by its leaseholder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceChange {
     /// The group.
     pub group: GroupName,
     /// The leaseholder's epoch; a former leaseholder's change is refused.
     pub epoch: PlacementEpoch,
-    /// The term; a change that raced a promotion is refused.
+    /// The group's term; a change that raced a promotion is refused.
     pub term: GroupTerm,
     /// The instance.
     pub instance: InstanceName,
@@ -172,37 +179,38 @@
     pub term: GroupTerm,
     /// The promoted instance.
     pub primary: InstanceName,
-    /// Where the promoted instance's log stood when the term began.
+    /// The promoted instance's log position at the start of the term.
     pub start: LogPosition,
 }
 
-/// Asks for a number that no other order to promote has.
+/// A request for a fencing token: a number that is unique to one promotion order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenRequest {
     /// The group.
     pub group: GroupName,
     /// The leaseholder's epoch.
     pub epoch: PlacementEpoch,
-    /// The instance that is to be promoted.
+    /// The instance to promote.
     pub instance: InstanceName,
 }
 
-/// What a leaseholder knows of its group's endpoints, where the databases keep terms of their own.
+/// The endpoints that a leaseholder knows for its group, where the database platform keeps its own
+/// terms.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointNotes {
     /// The group.
     pub group: GroupName,
     /// The leaseholder's epoch.
     pub epoch: PlacementEpoch,
-    /// The term of the primary that was found last; zero before the first.
+    /// The term of the last primary that was found; zero if none was.
     pub term: GroupTerm,
-    /// That primary.
+    /// The last primary that was found.
     pub primary: Option<InstanceName>,
-    /// The endpoints, as they last announced themselves.
+    /// The last announcement of each endpoint.
     pub endpoints: Vec<EndpointAnnouncement>,
 }
 
-/// The epoch in which a group's journal is whole at every standby.
+/// Identifies an epoch in which every standby holds the group's whole journal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JournalMark {
     /// The group.
@@ -211,26 +219,26 @@
     pub epoch: PlacementEpoch,
 }
 
-/// What became of a [`CatalogCommand`].
+/// The outcome of a [`CatalogCommand`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CatalogOutcome {
-    /// The contract is accepted under this version, at this revision.
+    /// The contract was accepted, with this version and revision.
     ContractAccepted(ContractAcceptance),
-    /// Another change won; the present contract is shown.
+    /// A concurrent change was committed first; holds the current contract.
     ContractConflict(Box<VersionedContract>),
-    /// The change names a base version of a customer that has no contract.
+    /// The change has a base version, but the customer has no contract.
     ContractUnknown,
-    /// The contract is malformed; each fault in words.
+    /// The contract is invalid; holds a description of each fault.
     ContractFaulty(Vec<String>),
-    /// The change id was used before for another content.
+    /// The change id was already used for a change with different content.
     ChangeIdReused,
-    /// The document is in force, or one with a version at least as high is.
+    /// The document, or one with an equal or higher version, is in force.
     DocumentAccepted(DocumentAcceptance),
-    /// The document is invalid; each fault in words.
+    /// The document is invalid; holds a description of each fault.
     DocumentInvalid(Vec<String>),
-    /// Done at this revision.
+    /// The command was applied at this revision.
     Done(CatalogRevision),
-    /// The command was built on a state that has changed since.
+    /// The command was refused because the state that it was based on has changed.
     Stale,
 }
 
@@ -239,39 +247,40 @@
 pub struct ContractAcceptance {
     /// The new version.
     pub version: ContractVersion,
-    /// The revision that every member must reach for the change to be in force.
+    /// The catalog revision that every member must reach before the change is in force.
     pub revision: CatalogRevision,
 }
 
-/// A group as it stands in the catalog.
+/// The catalog's record of a group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupRecord {
-    /// Who serves it.
+    /// The leaseholder and standbys.
     pub placement: GroupPlacement,
-    /// The present term; zero before the first.
+    /// The current term; zero before the first.
     pub term: GroupTerm,
-    /// The epoch in which the term began.
+    /// The placement epoch in which the term began.
     pub term_epoch: PlacementEpoch,
-    /// The primary, once the present term has one.
+    /// The primary of the current term, once there is one.
     pub primary: Option<InstanceName>,
-    /// Where the present term began.
+    /// The log position at which the current term began.
     pub start: LogPosition,
     /// The instances that count towards a majority.
     pub instances: SmallVec<[InstanceName; 4]>,
-    /// The last epoch in which the journal was whole at every standby; zero before the first.
-    /// Nothing that the journal must know was dispatched in a later one.
+    /// The last epoch in which every standby held the whole journal; zero before the first. No
+    /// request that the journal must record was dispatched in a later epoch.
     pub journal_epoch: PlacementEpoch,
-    /// The endpoints that the last leaseholder knew, where the databases keep terms of their own.
+    /// The endpoints that the last leaseholder recorded, where the database platform keeps its own
+    /// terms.
     #[serde(default)]
     pub endpoints: Vec<EndpointAnnouncement>,
 }
 
-/// One thing that changed in the catalog, as members learn it.
+/// A changed item of the catalog, as it is sent to members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CatalogItem {
     /// A contract was put in force.
     Contract(Box<VersionedContract>),
-    /// A contract is in force no more.
+    /// A customer's contract was removed.
     ContractGone(CustomerName),
     /// A group's terms were set.
     GroupTerms(GroupTerms),
@@ -281,18 +290,18 @@
     MemberGone(VmName),
     /// A group changed.
     Group(Box<GroupRecord>),
-    /// An account came or changed.
+    /// An account was added or changed.
     Account(Box<AccountTerms>),
-    /// An account is gone.
+    /// An account was removed.
     AccountGone(AccountName),
 }
 
-/// The changes that take a member's copy from one revision to another.
+/// The changes that bring a member's copy of the catalog from one revision to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CatalogDelta {
-    /// The revision it builds on; `None` means that it is a whole snapshot.
+    /// The base revision; `None` means that the delta is a full snapshot.
     pub from: Option<CatalogRevision>,
-    /// The revision it leads to.
+    /// The resulting revision.
     pub to: CatalogRevision,
     /// The changed items.
     pub items: Vec<CatalogItem>,
--- a/crates/types/src/clock.rs
+++ b/crates/types/src/clock.rs
@@ -1,4 +1,4 @@
-//! The time that decisions take as input.
+//! Monotonic timestamps that are passed to decision code as input.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,11 +6,11 @@
 use std::ops::Add;
 use std::time::Duration;
 
-/// A moment on a process's monotonic clock, in microseconds since an origin of its own.
+/// A timestamp of a process's monotonic clock, in microseconds since that process's own origin.
 ///
-/// Decisions never read a clock: each event carries the moment at which it happened, so that a test
-/// can replay an hour in milliseconds and get the same decisions every time. Moments of different
-/// processes can't be compared.
+/// Decision code never reads a clock: each event carries the time at which it happened, so that a
+/// test can replay an hour in milliseconds and is deterministic. Timestamps of different processes
+/// are not comparable.
 ///
 /// # Examples
 ///
@@ -30,32 +30,32 @@
 pub struct ClockTime(pub u64);
 
 impl ClockTime {
-    /// Creates a moment from microseconds since the origin.
+    /// Creates a timestamp from microseconds since the origin.
     pub fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// Creates a moment from milliseconds since the origin.
+    /// Creates a timestamp from milliseconds since the origin.
     pub fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// Returns the moment as microseconds since the origin.
+    /// Returns the microseconds since the origin.
     pub fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// Returns the moment as a duration since the origin.
+    /// Returns the duration since the origin.
     pub fn as_duration(self) -> Duration {
         Duration::from_micros(self.0)
     }
 
-    /// Returns the time that has passed since an earlier moment, or zero if it is a later one.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later than `self`.
     pub fn since(self, earlier: ClockTime) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// Returns the moment `span` before this one, or the origin if there is none.
+    /// Returns the timestamp `span` before this one, clamped to the origin.
     pub fn before(self, span: Duration) -> ClockTime {
         Self(self.0.saturating_sub(saturating_micros(span)))
     }
--- a/crates/types/src/contract.rs
+++ b/crates/types/src/contract.rs
@@ -1,4 +1,4 @@
-//! The contract of one customer, from which every limit follows.
+//! A customer's contract: the kinds of request it may send, and its limits.
 
 use crate::CallerRule;
 use crate::ContractVersion;
@@ -12,11 +12,11 @@
 
 /// The longest deadline that a contract may set, in milliseconds.
 ///
-/// Ten minutes is the window in which request keys are remembered; a request that could outlive
-/// its key's window could run twice.
+/// Request keys are remembered for ten minutes; a request with a longer deadline could outlive its
+/// key and run twice.
 pub const LONGEST_DEADLINE_MS: u64 = 600_000;
 
-/// What one customer was promised and may use.
+/// The contract of one customer: its groups, kinds of request and limits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CustomerContract {
@@ -24,45 +24,46 @@
     pub customer: CustomerName,
     /// The database groups that the customer may use.
     pub groups: Vec<GroupName>,
-    /// The kinds of request, by name.
+    /// The terms of each kind of request, by the kind's name.
     pub kinds: BTreeMap<KindName, KindTerms>,
-    /// The kind of a statement that names none.
+    /// The kind of a statement that does not name one.
     pub default_kind: KindName,
-    /// The customer's weight when endpoint slots are scarce, relative to other customers.
+    /// The customer's weight, relative to other customers, in the scheduling of endpoint slots.
     pub slot_share: u32,
-    /// The most endpoint connections that the customer's transactions may pin at once, per group.
+    /// The maximum number of endpoint connections that the customer's transactions may pin at once,
+    /// per group.
     pub connection_limit: u32,
-    /// The most requests that may wait at once, per group.
+    /// The maximum number of requests that may wait at once, per group.
     pub queue_limit: u32,
-    /// The most sessions that may be open at once, per gateway.
+    /// The maximum number of sessions that may be open at once, per gateway.
     pub session_limit: u32,
-    /// Which callers it takes.
+    /// The callers that are admitted.
     #[serde(default, skip_serializing_if = "CallerRule::is_open")]
     pub callers: CallerRule,
 }
 
-/// What the contract says of one kind of request.
+/// The contract's terms for one kind of request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KindTerms {
     /// Whether requests of this kind read or write.
     pub access: AccessMode,
-    /// Whether a request of this kind may run again.
+    /// Whether a request of this kind may run more than once.
     #[serde(default)]
     pub repeat: RepeatRule,
-    /// Whether the request goes before ordinary work.
+    /// Whether the request is scheduled before ordinary requests.
     #[serde(default)]
     pub urgency: UrgencyClass,
-    /// Whether the request is short or long.
+    /// Whether the request usually runs for a short or a long time.
     #[serde(default)]
     pub length: LengthClass,
-    /// The age that a read's data may have, in milliseconds; zero means none.
+    /// The maximum staleness of the data that is read, in milliseconds; zero allows none.
     #[serde(default)]
     pub max_age_ms: u64,
-    /// The time in which the caller needs its answer, in milliseconds.
+    /// The time within which the caller needs its answer, in milliseconds.
     pub deadline_ms: u64,
-    /// The time in which the answer is worth most to the caller, in milliseconds; none where all
-    /// answers before the deadline are worth the same.
+    /// The latency target, in milliseconds: an answer within it is worth more to the caller than a
+    /// later one. `None` if all answers before the deadline are worth the same.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub target_ms: Option<u64>,
 }
@@ -77,31 +78,31 @@
     Write,
 }
 
-/// Whether a request may run again.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RepeatRule {
-    /// The request has the same effect when run again.
+    /// Running the request again has the same effect.
     Idempotent,
-    /// The request runs at most once. The safe default.
+    /// The request runs at most once. This is the default because it is always safe.
     #[default]
     Never,
 }
 
-/// How urgent a request is.
+/// The scheduling class of a request.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum UrgencyClass {
-    /// The request waits its turn.
+    /// The request is scheduled in the normal order.
     #[default]
     Ordinary,
-    /// The request goes first, within bounds.
+    /// The request is scheduled before ordinary ones, within limits.
     Urgent,
 }
 
-/// How long requests of a kind usually run.
+/// The usual running time of a kind's requests.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -110,26 +111,26 @@
     /// Milliseconds to tens of milliseconds.
     #[default]
     Short,
-    /// Hundreds of milliseconds or more, such as a report.
+    /// Hundreds of milliseconds or more, as for a report.
     Long,
 }
 
 /// A fault in a contract.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ContractFault {
-    /// The customer's name is empty or holds characters other than letters, digits, `-` and `_`.
+    /// The customer's name is empty or has characters other than ASCII letters, digits, `-` and `_`.
     CustomerName,
     /// The contract names no group.
     NoGroups,
-    /// The contract's default kind isn't among its kinds.
+    /// The contract's default kind is not one of its kinds.
     DefaultKind,
-    /// A limit is zero; the name says which.
+    /// The limit of this name is zero.
     ZeroLimit(&'static str),
     /// A kind's deadline is zero or longer than [`LONGEST_DEADLINE_MS`].
     Deadline(KindName),
-    /// A kind that writes allows data of some age.
+    /// A kind that writes allows stale data.
     AgedWrite(KindName),
-    /// A kind's target is zero: no answer would meet it.
+    /// A kind's latency target is zero, which no answer can meet.
     Target(KindName),
 }
 
@@ -161,12 +162,12 @@
 }
 
 impl CustomerContract {
-    /// Returns the terms of a kind, if the contract names it.
+    /// Returns the terms of a kind, if the contract has it.
     pub fn kind(&self, name: &KindName) -> Option<&KindTerms> {
         self.kinds.get(name)
     }
 
-    /// Lists every fault of the contract; an empty list means that it can be applied.
+    /// Returns all faults of the contract; an empty list means that it is valid.
     pub fn find_faults(&self) -> Vec<ContractFault> {
         let mut faults = Vec::new();
         if !is_plain_name(self.customer.as_str()) {
@@ -209,23 +210,23 @@
     !text.is_empty() && text.chars().all(plain)
 }
 
-/// A change of one customer's contract, as an operator sends it.
+/// An operator's change to one customer's contract.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ContractChange {
-    /// The same each time this change is sent, so that a resend gets the first answer.
+    /// The identifier of the change. A resend carries the same one and gets the first reply.
     pub change_id: crate::ChangeId,
-    /// The version that the change builds on; zero for a new customer.
+    /// The version that the change replaces; zero for a new customer.
     pub base_version: ContractVersion,
     /// The contract to put in force.
     pub contract: CustomerContract,
 }
 
-/// A contract as it stands in the catalog.
+/// A contract in the catalog, with its version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionedContract {
-    /// The version, one above that of the contract it replaced.
+    /// The version: one above that of the replaced contract.
     pub version: ContractVersion,
-    /// The change that put it there.
+    /// The change that created this version.
     pub change_id: crate::ChangeId,
     /// The contract.
     pub contract: CustomerContract,
--- a/crates/types/src/document.rs
+++ b/crates/types/src/document.rs
@@ -1,8 +1,8 @@
-//! A whole configuration under one version: every contract and every group's terms.
+//! Configuration documents: all contracts, groups and accounts under one version.
 //!
-//! An operator who changes many contracts in one step sends a document. The one with the highest
-//! version wins, so operators that race each other end with one whole configuration and never with
-//! a mixture of two.
+//! An operator who changes many contracts in one step sends a document. The document with the
+//! highest version wins, so concurrent operators end up with one complete configuration and never
+//! with a mixture of two.
 
 use crate::AccountKey;
 use crate::AccountName;
@@ -21,7 +21,7 @@
 use std::sync::Arc;
 use uuid::Uuid;
 
-/// The version of a whole configuration, chosen by its operator.
+/// The version of a configuration document, chosen by its operator.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -37,14 +37,13 @@
 impl DocumentVersion {
     /// Returns the change id of the contracts that this version puts in force.
     ///
-    /// Contracts of one version share it, so that whoever looks at a contract sees where it came
-    /// from.
+    /// All contracts of a document share it, so that a contract shows the document it came from.
     pub fn to_change_id(self) -> ChangeId {
         ChangeId(Uuid::from_u64_pair(0, self.0))
     }
 }
 
-/// A configuration as its operator wrote it, with the keys of its accounts. It is never logged or dumped.
+/// The text of a configuration document, which contains account keys. It is never logged or dumped.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct DocumentText(Arc<str>);
@@ -69,55 +68,55 @@
     }
 }
 
-/// A whole configuration.
+/// A configuration document: a complete configuration, which replaces the previous one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ContractDocument {
-    /// Its version; the highest one is in force.
+    /// The document's version; the highest version is in force.
     pub version: DocumentVersion,
-    /// The text as its operator wrote it, which is shown to whoever reads the configuration back.
+    /// The text as the operator wrote it, which is returned when the configuration is read back.
     pub source: DocumentText,
-    /// The contracts; a customer that a document leaves out has none any more.
+    /// The contracts; the contract of a customer that is not listed is removed.
     pub contracts: Vec<CustomerContract>,
-    /// The terms of the groups that contracts may name.
+    /// The terms of each group that contracts may name.
     pub groups: Vec<GroupTerms>,
-    /// The client accounts; one that a document leaves out has no callers any more.
+    /// The client accounts; an account that is not listed is removed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub accounts: Vec<ClientAccount>,
-    /// The secret under which keys are digested from the first document with accounts on. The VM that
-    /// takes a document draws one; all later ones are left unused.
+    /// The secret under which account keys are hashed. The VM that receives a document generates one;
+    /// only that of the first document with accounts is used.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub seal: Option<DigestSeal>,
 }
 
-/// What is said of one database group.
+/// The configuration of one database group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupTerms {
     /// The group.
     pub group: GroupName,
-    /// How many connections each of its instances takes, from all VMs together.
+    /// The number of connections that each instance accepts, from all VMs together.
     pub connections: u32,
-    /// How many replicas hold a write before the database itself acknowledges it.
+    /// The number of replicas that must hold a write before the database acknowledges it.
     pub synchronous_replicas: u32,
-    /// How long a transaction may run no statement before it may be ended, in milliseconds.
+    /// The time for which a transaction may be idle before it may be aborted, in milliseconds.
     pub idle_transaction_ms: u64,
 }
 
-/// A fault in a document.
+/// A fault in a configuration document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DocumentFault {
     /// Two contracts have the same customer.
     CustomerTwice(CustomerName),
-    /// Two terms are of the same group.
+    /// A group is listed twice.
     GroupTwice(GroupName),
-    /// A contract names a group of which the document says nothing.
+    /// A contract names a group that the document does not list.
     UnknownGroup(CustomerName, GroupName),
-    /// A contract is faulty; the fault in words.
+    /// A contract is invalid; holds a description of the fault.
     Contract(CustomerName, String),
     /// Two accounts have the same name.
     AccountTwice(AccountName),
     /// Two accounts share a key.
     KeyShared(AccountName, AccountName),
-    /// An account has an empty key, which a caller without any would show.
+    /// An account has an empty key, which a caller without a key would match.
     EmptyKey(AccountName),
 }
 
@@ -145,7 +144,7 @@
 }
 
 impl ContractDocument {
-    /// Lists every fault of the document; an empty list means that it can be applied.
+    /// Returns all faults of the document; an empty list means that it is valid.
     pub fn find_faults(&self) -> Vec<DocumentFault> {
         let mut faults = Vec::new();
         let mut groups = BTreeSet::new();
@@ -197,40 +196,40 @@
     }
 }
 
-/// What became of a document.
+/// The acceptance of a document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DocumentAcceptance {
-    /// The version in force now: the document's own, or a higher one that was there before.
+    /// The version in force: the document's own, or a higher one that was in force before.
     pub in_force: DocumentVersion,
 }
 
-/// The answer to a document.
+/// The reply to a document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DocumentReply {
-    /// It is committed, or a version at least as high is.
+    /// The document, or one with an equal or higher version, is committed.
     Accepted(DocumentAcceptance),
-    /// It is invalid and changes nothing; each fault in words.
+    /// The document is invalid and changes nothing; holds a description of each fault.
     Invalid(Vec<String>),
-    /// It may or may not be committed; the same document may be sent again.
+    /// The document may or may not be committed; resending it is safe.
     Unknown,
 }
 
-/// The answer to a wish to read the configuration.
+/// The reply to a request to read the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DocumentReading {
-    /// The document that a majority confirmed to be the newest one.
+    /// The newest document, as confirmed by a majority of the control VMs.
     Newest(DocumentCopy),
     /// No document was ever accepted.
     Empty,
-    /// Nobody who can be sure was reached.
+    /// No control leader that can confirm the newest document was reached.
     Unsure,
 }
 
-/// A document as it is read back.
+/// A configuration document that is read back.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DocumentCopy {
-    /// Its version.
+    /// The document's version.
     pub version: DocumentVersion,
-    /// The text as its operator wrote it.
+    /// The text as the operator wrote it.
     pub source: DocumentText,
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,8 +1,8 @@
-//! Names, positions, verdicts, contracts and messages of ragwortgate.
+//! Data types that ragwortgate's processes share: names, log positions, request outcomes,
+//! contracts, the catalog's records and the messages between VMs.
 //!
-//! Every process of ragwortgate speaks in these types. They do no I/O: a caller's request becomes a
-//! [`StatementRequest`], its outcome a [`RequestVerdict`], and an operator's change a
-//! [`ContractChange`].
+//! The crate does no I/O. A caller's request becomes a [`StatementRequest`], its outcome a
+//! [`RequestVerdict`], and an operator's change a [`ContractChange`].
 //!
 //! # Examples
 //!
@@ -18,7 +18,7 @@
 //! assert!(!written.covers(promoted));
 //! ```
 //!
-//! A refusal says when to come back:
+//! A refusal carries the time after which the caller may retry:
 //!
 //! ```
 //! use ragwort_types::RefusalCause;
--- a/crates/types/src/messages.rs
+++ b/crates/types/src/messages.rs
@@ -28,13 +28,13 @@
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// A statement on its way from a gateway to a group's leaseholder.
+/// A statement that a gateway sends to a group's leaseholder.
 ///
-/// It and its reply travel for each statement, between failure domains as a rule, so their fields
-/// go by one letter and what is empty is left out.
+/// This message and its reply are sent for each statement, usually between failure domains, so their
+/// fields are serialized under one-letter names and empty fields are omitted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatementRequest {
-    /// Identifies the statement; its reply carries the same.
+    /// The identifier of the statement; its reply carries the same one.
     #[serde(rename = "i")]
     pub id: StatementId,
     /// The customer.
@@ -46,62 +46,63 @@
     /// The database group.
     #[serde(rename = "g")]
     pub group: GroupName,
-    /// The marks that the caller put on the statement.
+    /// The caller's options for the statement.
     #[serde(rename = "m", default, skip_serializing_if = "RequestMarks::is_empty")]
     pub marks: RequestMarks,
     /// The statement's text.
     #[serde(rename = "t")]
     pub text: String,
-    /// The parameters in text form, for the extended protocol.
+    /// The parameters in text form; `None` outside the extended query protocol.
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
     pub parameters: Option<Vec<Option<String>>>,
-    /// How the statement belongs to a transaction.
+    /// The statement's role in a transaction.
     #[serde(
         rename = "q",
         default,
         skip_serializing_if = "TransactionStep::is_single"
     )]
     pub step: TransactionStep,
-    /// The time that the gateway has already spent on it, in milliseconds.
+    /// The time that the gateway has already spent on the statement, in milliseconds.
     #[serde(rename = "z", default, skip_serializing_if = "is_zero")]
     pub spent_ms: u64,
-    /// The time that its caller has waited before it for its session to open, in milliseconds. It counts
-    /// against the target, which is its caller's, and not against the deadline, which is the statement's.
+    /// The time that the caller waited for its session to open before it sent the statement, in
+    /// milliseconds. It counts against the caller's latency target, but not against the statement's
+    /// deadline.
     #[serde(rename = "y", default, skip_serializing_if = "is_zero")]
     pub waited_ms: u64,
-    /// The account that its caller works for.
+    /// The caller's account.
     #[serde(rename = "k", default, skip_serializing_if = "Option::is_none")]
     pub account: Option<AccountName>,
-    /// The caller's digested key, from a gateway that can't be sure to know the newest accounts.
+    /// The digest of the caller's key, sent by a gateway that may not know the newest accounts.
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
     pub proof: Option<KeyDigest>,
-    /// What it needs of its session, where sessions share connections without a driver's help.
+    /// The session state that the statement depends on, where sessions share endpoint connections.
     #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
     pub context: Option<Box<SessionContext>>,
 }
 
-/// What a caller may say about one statement.
+/// A caller's options for one statement.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestMarks {
-    /// The kind; the contract's default kind if none.
+    /// The kind; `None` means the contract's default kind.
     #[serde(rename = "k", default, skip_serializing_if = "Option::is_none")]
     pub kind: Option<KindName>,
-    /// The request key, which a kind that is never repeated must have for its resends to be safe.
+    /// The request key, without which a request that must not be repeated can't be resent safely.
     #[serde(rename = "e", default, skip_serializing_if = "Option::is_none")]
     pub key: Option<RequestKey>,
-    /// A deadline tighter than the contract's, in milliseconds.
+    /// A deadline shorter than the contract's, in milliseconds.
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<u64>,
-    /// Whether the request is urgent, if the contract allows urgency to the customer.
+    /// Whether the request is urgent; it takes effect only if the contract allows urgent requests.
     #[serde(rename = "u", default, skip_serializing_if = "Option::is_none")]
     pub urgent: Option<bool>,
-    /// A tighter bound on the age of what is read, in milliseconds.
+    /// A maximum staleness lower than the contract's, in milliseconds.
     #[serde(rename = "a", default, skip_serializing_if = "Option::is_none")]
     pub max_age_ms: Option<u64>,
 }
 
 impl RequestMarks {
-    /// Says whether the caller said nothing.
+    /// Returns whether no option is set.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
@@ -111,10 +112,10 @@
     *number == 0
 }
 
-/// How a statement belongs to a transaction.
+/// A statement's role in a transaction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TransactionStep {
-    /// The statement stands alone.
+    /// The statement is not part of a transaction.
     #[default]
     #[serde(rename = "s")]
     Single,
@@ -133,12 +134,12 @@
 }
 
 impl TransactionStep {
-    /// Says whether the statement stands alone.
+    /// Returns whether the statement is outside any transaction.
     pub fn is_single(&self) -> bool {
         *self == Self::Single
     }
 
-    /// Returns the transaction, if the statement belongs to one.
+    /// Returns the statement's transaction, if it has one.
     pub fn transaction(self) -> Option<TransactionId> {
         match self {
             Self::Single => None,
@@ -150,13 +151,13 @@
 /// A leaseholder's reply to one statement.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatementReply {
-    /// The statement that this replies to.
+    /// The identifier of the statement.
     #[serde(rename = "i")]
     pub id: StatementId,
-    /// What became of it.
+    /// The statement's outcome.
     #[serde(rename = "v")]
     pub verdict: RequestVerdict,
-    /// Which instance served it, if one did.
+    /// The instance that served the statement, if one did.
     #[serde(rename = "b", default, skip_serializing_if = "Option::is_none")]
     pub served_by: Option<ServedBy>,
 }
@@ -164,96 +165,97 @@
 /// A member's heartbeat to a control VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatRequest {
-    /// The member as it wants to be known.
+    /// The record under which the member is to be listed.
     pub member: MemberRecord,
-    /// The revision that the member has in force.
+    /// The catalog revision that the member has in force.
     pub revision: CatalogRevision,
-    /// Groups whose endpoints announce themselves here and that have no placement yet.
+    /// Groups without a placement whose endpoints announce themselves to this member.
     pub unplaced_groups: Vec<GroupName>,
 }
 
 /// The reply to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HeartbeatReply {
-    /// The lease runs for this long from the moment the heartbeat was sent.
+    /// The lease is granted; its duration counts from the time at which the heartbeat was sent.
     Granted(LeaseGrant),
-    /// The member isn't in the catalog yet, or control has no leader; ask again.
+    /// The member is not in the catalog yet, or the control VMs have no leader; retry.
     NotYet,
-    /// A process of this VM with this later incarnation was known. One that has held a lease must
-    /// stop; one that has just started only has a clock that went back.
+    /// A process of the same VM with this later incarnation is known. A process that has held a
+    /// lease must stop; for one that has just started, it means that the VM's clock went back.
     Superseded(VmIncarnation),
 }
 
 /// A granted lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// The lease's length, in milliseconds.
+    /// The lease duration, in milliseconds.
     pub lease_ms: u64,
-    /// The newest revision.
+    /// The newest catalog revision.
     pub revision: CatalogRevision,
-    /// What the member lacks, if anything.
+    /// The changes that the member lacks, if any.
     pub delta: Option<CatalogDelta>,
 }
 
-/// What a control follower passes on to the leader: heartbeats gathered in a short window.
+/// The heartbeats that a control follower received within a short interval and forwards to the
+/// leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatBatch {
     /// The heartbeats.
     pub heartbeats: Vec<HeartbeatRequest>,
 }
 
-/// A command for the catalog, passed on to the leader.
+/// A catalog command that is sent to the control leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommandRequest {
-    /// Whether a control VM passed it on already; it is not passed on twice.
+    /// Whether a control VM has already forwarded it; it is not forwarded twice.
     #[serde(default)]
     pub forwarded: bool,
     /// The command.
     pub command: CatalogCommand,
 }
 
-/// The answer to a command.
+/// The reply to a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandReply {
     /// The command was committed, with this outcome.
     Committed(CatalogOutcome),
-    /// No leader is known here; the command was not proposed.
+    /// The receiver knows no leader; the command was not proposed.
     NoLeader,
-    /// The command may or may not be committed; resend it under the same id.
+    /// The command may or may not be committed; resend it with the same change id.
     Unknown,
 }
 
-/// How far a contract change has come.
+/// The propagation state of a contract change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ForceStatus {
-    /// The acceptance asked about.
+    /// The acceptance that the status is for.
     pub acceptance: ContractAcceptance,
     /// Whether every member with a live lease has confirmed the revision.
     pub in_force: bool,
-    /// Members that have not confirmed it yet.
+    /// The number of members that have not confirmed it yet.
     pub waiting_for: u32,
 }
 
-/// An entry of a group's journal.
+/// An entry of a group's journal, which the leaseholder replicates to its standbys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JournalEntry {
-    /// A request that must not repeat is about to be dispatched.
+    /// A request that must run at most once is about to be dispatched.
     KeyDispatched(KeyRecord),
-    /// A request that must not repeat has its final verdict.
+    /// A request that must run at most once has its final verdict.
     KeyDecided(KeyDecision),
-    /// A session's writes reach up to a position.
+    /// The position of a session's last write.
     SessionPosition(SessionRecord),
-    /// All replicas have passed this position; sessions that are not listed start from it.
+    /// All replicas have passed this position; it stands for each session without an entry.
     SessionFloor(LogPosition),
-    /// Keys made before this time, in milliseconds since the Unix epoch, may have been dispatched
-    /// without being listed: the whole set that held them was lost.
+    /// Keys created before this time, in milliseconds since the Unix epoch, may have been dispatched
+    /// without being recorded, because all copies of the journal were lost.
     KeysLost(u64),
 }
 
 /// A dispatched request key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyRecord {
-    /// The customer; keys of different customers never meet.
+    /// The customer; keys are unique per customer.
     pub customer: CustomerName,
     /// The key.
     pub key: RequestKey,
@@ -266,7 +268,7 @@
     pub customer: CustomerName,
     /// The key.
     pub key: RequestKey,
-    /// The first run's verdict.
+    /// The verdict of the first run.
     pub verdict: RequestVerdict,
 }
 
@@ -277,23 +279,23 @@
     pub customer: CustomerName,
     /// The session.
     pub session: SessionName,
-    /// The position that its reads must cover.
+    /// The position that the session's reads must cover.
     pub position: LogPosition,
 }
 
-/// Journal entries on their way to a standby.
+/// A batch of journal entries that is sent to a standby.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JournalAppend {
-    /// The standby that is meant.
+    /// The intended recipient.
     pub to: VmName,
     /// The group.
     pub group: GroupName,
     /// The leaseholder's epoch; a standby that knows a later one refuses.
     pub epoch: PlacementEpoch,
-    /// The number of the first entry. With `reset` the entries stand for all that have a lower
-    /// number, and have none themselves.
+    /// The sequence number of the first entry. With `reset`, the entries have no numbers and replace
+    /// all entries with a lower number.
     pub sequence: u64,
-    /// Whether the entries replace all that the standby holds, as at the start of an epoch.
+    /// Whether the entries replace all entries that the standby holds, as at the start of an epoch.
     pub reset: bool,
     /// The entries.
     pub entries: Vec<JournalEntry>,
@@ -302,15 +304,15 @@
 /// A standby's reply to a [`JournalAppend`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JournalReply {
-    /// The standby holds all entries up to this number (exclusive).
+    /// The standby holds all entries below this sequence number.
     Held(u64),
     /// The standby knows a later epoch.
     StaleEpoch(PlacementEpoch),
-    /// The standby lacks earlier entries; send everything again with `reset`.
+    /// The standby lacks earlier entries; resend all of them with `reset`.
     Gap,
 }
 
-/// All that a VM holds of a group's journal, for the next leaseholder.
+/// A VM's copy of a group's journal, which the next leaseholder reads.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JournalCopy {
     /// The epoch in which the entries were written; zero if the VM holds none.
@@ -330,47 +332,49 @@
     pub instance: InstanceName,
     /// The instance's failure domain.
     pub domain: DomainName,
-    /// Where it takes statements.
+    /// The address at which the instance accepts statements.
     pub data_address: SocketAddr,
-    /// Where its agent answers.
+    /// The address of the instance's agent.
     pub agent_address: SocketAddr,
-    /// How many statements it runs at once.
+    /// The number of statements that the instance runs concurrently.
     pub slots: u32,
-    /// How many connections it takes.
+    /// The number of connections that the instance accepts.
     pub connections: u32,
-    /// What it knows of itself.
+    /// The instance's state.
     pub status: InstanceStatus,
-    /// When the instance's process started, in milliseconds since the Unix epoch; zero if the
-    /// endpoint doesn't say.
+    /// The start time of the instance's process, in milliseconds since the Unix epoch; zero if the
+    /// endpoint does not report it.
     #[serde(default)]
     pub started_ms: u64,
-    /// Raised with each announcement of one process, so that one that was delayed on its way is
-    /// known as such; zero if the endpoint counts nothing.
+    /// The sequence number, incremented with each announcement of one process, by which delayed
+    /// announcements are detected; zero if the endpoint does not number them.
     #[serde(default)]
     pub sequence: u64,
 }
 
 impl EndpointAnnouncement {
-    /// Says whether it was made before `other`, which is of the same instance.
+    /// Returns whether the announcement was made before `other`, which is from the same instance.
     ///
-    /// An instance that starts again counts its announcements anew. If the count alone decided, all
-    /// that it says would pass for late until it has counted as far as before.
+    /// The start time is compared first, because an instance that restarts numbers its
+    /// announcements from the start again: by sequence number alone, they would be taken for delayed
+    /// ones until the number exceeds its previous value.
     pub fn is_before(&self, other: &Self) -> bool {
         (self.started_ms, self.sequence) < (other.started_ms, other.sequence)
     }
 
-    /// Says whether the instance has started again since it made `earlier`.
+    /// Returns whether the instance has restarted since the announcement `earlier`.
     ///
-    /// It holds nothing of before then: no connection, prepared name or open transaction.
+    /// A restarted instance has lost its connections, prepared statements and open transactions.
     pub fn is_restart_since(&self, earlier: &Self) -> bool {
         earlier.started_ms != 0 && self.started_ms > earlier.started_ms
     }
 }
 
-/// Which instance of which group answers at an address.
+/// The group and the instance that answer at an address.
 ///
-/// Addresses are given anew. Whoever is meant to speak to an instance asks for this first: else a statement
-/// could run in another group's database, or another group's instance be counted, fenced or promoted.
+/// Addresses are reused. A client of an instance checks its identity first; otherwise a statement
+/// could run in another group's database, or another group's instance could be counted, fenced or
+/// promoted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct InstanceIdentity {
     /// The group.
@@ -379,65 +383,66 @@
     pub instance: InstanceName,
 }
 
-/// What an endpoint's agent says of its instance.
+/// The state of an instance, as reported by its agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceStatus {
-    /// Its role.
+    /// The instance's role.
     pub role: InstanceRole,
-    /// The highest term it was fenced at or told of; it refuses earlier ones.
+    /// The highest term that the instance was fenced at or has learned of; it refuses earlier ones.
     pub fenced_term: crate::GroupTerm,
-    /// Its position.
+    /// The instance's log position.
     pub position: LogPosition,
-    /// Whether it is leaving and wants no new work.
+    /// Whether the instance is shutting down and should get no new work.
     pub leaving: bool,
 }
 
 /// The role of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum InstanceRole {
-    /// It takes writes.
+    /// The instance accepts writes.
     Primary,
-    /// It follows a primary.
+    /// The instance replicates from a primary.
     Replica,
 }
 
-/// The answer to an announcement: where to announce from now on.
+/// The reply to an announcement.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnnouncementReply {
-    /// The group's leaseholder and standbys; empty while the group has no placement.
+    /// The addresses for further announcements: the group's leaseholder and standbys. Empty while the
+    /// group has no placement.
     pub announce_to: Vec<SocketAddr>,
-    /// Whether the group's leaseholder has taken the announcement. One that it hasn't taken changes
-    /// nothing yet: an endpoint that leaves may still be sent work.
+    /// Whether the group's leaseholder has processed the announcement. Until then it has no effect:
+    /// an endpoint that is shutting down may still be sent work.
     #[serde(default)]
     pub leaseholder_told: bool,
 }
 
-/// The answer to a fence or promotion by an endpoint's agent.
+/// The reply of an endpoint's agent to a fence, promotion or follow call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FenceReply {
-    /// The instance refuses earlier terms from now on; its position is final for them.
+    /// The instance now refuses earlier terms; the position is its last one in them.
     Fenced(LogPosition),
     /// The instance knows a later term.
     Refused(crate::GroupTerm),
 }
 
-/// A journal request: which group's journal to hand over.
+/// A request for a VM's copy of a group's journal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JournalRequest {
-    /// The VM that is meant.
+    /// The intended recipient.
     pub to: VmName,
     /// The group.
     pub group: GroupName,
-    /// The asker's epoch; the VM refuses appends of earlier epochs from then on.
+    /// The requester's epoch; the recipient refuses appends of earlier epochs from then on.
     pub epoch: PlacementEpoch,
 }
 
-/// An agreement message on its way between control VMs; its content belongs to the control crate.
+/// A consensus message between control VMs; the control crate defines its content.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgreementEnvelope {
     /// The sender.
     pub from: VmName,
-    /// Where the sender answers other VMs; the receiver may know it by its name only.
+    /// The address at which the sender serves other VMs; the receiver may know only its name.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub from_address: Option<SocketAddr>,
     /// The receiver.
@@ -446,18 +451,18 @@
     pub payload: String,
 }
 
-/// What a VM's daemon is doing, for operators.
+/// The status of a VM's daemon, for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeStatus {
     /// The VM.
     pub vm: VmName,
-    /// The revision in force here.
+    /// The catalog revision in force on the VM.
     pub revision: CatalogRevision,
-    /// Whether the VM takes work.
+    /// Whether the VM accepts work.
     pub ready: bool,
     /// Whether the VM is shutting down.
     pub draining: bool,
-    /// The control leader, as far as known here.
+    /// The control leader, if the VM knows it.
     pub control_leader: Option<VmName>,
     /// The groups, with their terms and primaries.
     pub groups: Vec<crate::GroupRecord>,
@@ -465,17 +470,17 @@
     pub members: Vec<MemberRecord>,
 }
 
-/// Which process of a control VM's durable state answers, and whether it holds a log yet.
+/// The identity of a control VM's durable state, and what it knows of the voters.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlIdentity {
     /// The VM and the incarnation of its durable state.
     pub id: crate::MemberId,
-    /// Whether its agreed log is empty.
+    /// Whether its replicated log is empty.
     pub empty: bool,
-    /// The other control VMs that it knows.
+    /// The other control VMs that it knows and their addresses.
     #[serde(default)]
     pub known: Vec<ControlPeer>,
-    /// The voters of its log.
+    /// The voters in its log's configuration.
     #[serde(default)]
     pub voters: Vec<crate::MemberId>,
     /// Whether it knows a leader.
@@ -483,22 +488,22 @@
     pub led: bool,
 }
 
-/// A control VM and where it answers other VMs.
+/// A control VM and its address.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlPeer {
     /// The VM.
     pub vm: VmName,
-    /// Its address for other VMs.
+    /// The address at which it serves other VMs.
     pub address: SocketAddr,
 }
 
-/// The answer to an operator's wish to form the first voter set of the control VMs.
+/// The reply to an operator's request to form the first voter set from the control VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FormReply {
-    /// All control VMs were empty and reachable, and are now the voters.
+    /// All control VMs were reachable and had empty logs, and are now the voters.
     Formed,
-    /// The control VMs hold an agreed log already; nothing was changed.
+    /// The control VMs already hold a log; nothing was changed.
     AlreadyFormed,
-    /// The voter set was not formed, for this reason in words; nothing was changed.
+    /// The voter set was not formed and nothing was changed; holds the reason.
     Refused(String),
 }
--- a/crates/types/src/names.rs
+++ b/crates/types/src/names.rs
@@ -1,6 +1,7 @@
-//! Names and numbers that identify things across processes.
+//! Newtypes for the names, counters and UUIDs that identify things across processes.
 //!
-//! Each is a type of its own, so that a group can't be passed where an instance is meant.
+//! Each has its own type, so that the compiler rejects a group name where an instance name is
+//! expected.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -50,35 +51,35 @@
 }
 
 text_name! {
-    /// A customer, whose contract sets every limit.
+    /// The name of a customer, the organisation that a contract is made with.
     CustomerName
 }
 text_name! {
-    /// A client account, in whose name callers work.
+    /// The name of a client account, on whose behalf callers send requests.
     AccountName
 }
 text_name! {
-    /// A database group: one primary and its replicas.
+    /// The name of a database group: one primary and its replicas.
     GroupName
 }
 text_name! {
-    /// One instance of a database group.
+    /// The name of one instance of a database group.
     InstanceName
 }
 text_name! {
-    /// A VM that runs a daemon of ragwortgate.
+    /// The name of a VM that runs a ragwortgate daemon.
     VmName
 }
 text_name! {
-    /// A failure domain: VMs and endpoints that can be lost together.
+    /// The name of a failure domain: a set of VMs and endpoints that can fail together.
     DomainName
 }
 text_name! {
-    /// A caller's session, which keeps its name when it moves to another gateway.
+    /// The name of a caller's session; it stays the same when the session moves to another gateway.
     SessionName
 }
 text_name! {
-    /// A kind of request that a contract describes, such as `grant` or `status`.
+    /// The name of a kind of request that a contract describes, such as `grant` or `status`.
     KindName
 }
 
@@ -92,7 +93,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// Returns the number after this one.
+            /// Returns the next number.
             pub fn next(self) -> Self {
                 Self(self.0 + 1)
             }
@@ -107,15 +108,15 @@
 }
 
 counter! {
-    /// The term of a database group: raised with each change of its primary.
+    /// The term of a database group, incremented with each change of its primary.
     GroupTerm
 }
 counter! {
-    /// The epoch of a group's placement: raised with each change of its leaseholder or standbys.
+    /// The epoch of a group's placement, incremented with each change of its leaseholder or standbys.
     PlacementEpoch
 }
 counter! {
-    /// The version of one customer's contract, counted from 1.
+    /// The version of one customer's contract, starting at 1.
     ContractVersion
 }
 counter! {
@@ -123,7 +124,7 @@
     CatalogRevision
 }
 counter! {
-    /// The incarnation of a VM's durable state: raised when its disk was empty at start.
+    /// The incarnation of a VM's process or of its durable state; a later one has a higher number.
     VmIncarnation
 }
 
@@ -135,7 +136,7 @@
         pub struct $name(pub Uuid);
 
         impl $name {
-            /// Creates a fresh identifier that carries the present time (UUIDv7).
+            /// Creates a new UUIDv7, which contains the current time.
             pub fn fresh() -> Self {
                 Self(Uuid::now_v7())
             }
@@ -150,15 +151,16 @@
 }
 
 uuid_name! {
-    /// The key of a request that must run at most once; its age is readable from it (UUIDv7).
+    /// The idempotency key of a request that must run at most once: a UUIDv7, which contains its
+    /// creation time.
     RequestKey
 }
 uuid_name! {
-    /// The identifier of a contract change, the same each time the change is sent.
+    /// The identifier of a contract change; a resend carries the same one.
     ChangeId
 }
 uuid_name! {
-    /// The identifier of one statement on the wire; its answer carries the same.
+    /// The identifier of one statement on the wire; its reply carries the same one.
     StatementId
 }
 uuid_name! {
@@ -167,9 +169,8 @@
 }
 
 impl RequestKey {
-    /// Returns when the key was made, in milliseconds since the Unix epoch.
-    ///
-    /// `None` means that the key isn't a UUIDv7 and has no readable age.
+    /// Returns the time of the key's creation, in milliseconds since the Unix epoch, or `None` if
+    /// the key is not a UUIDv7.
     pub fn to_unix_millis(self) -> Option<u64> {
         if self.0.get_version_num() != 7 {
             return None;
--- a/crates/types/src/position.rs
+++ b/crates/types/src/position.rs
@@ -5,10 +5,10 @@
 use serde::Serialize;
 use std::fmt;
 
-/// A place in a database group's log: the term that wrote the entry and its log position.
+/// A position in a database group's log: the term of an entry and its index.
 ///
-/// Positions order by term first. A position of a later term lies after every *acknowledged*
-/// position of an earlier one, because a promotion starts from an instance that holds them all.
+/// Positions are ordered by term first. A position of a later term is after every *acknowledged*
+/// position of an earlier one, because a promotion starts from an instance that holds all of them.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -25,7 +25,7 @@
         Self { term, index }
     }
 
-    /// Says whether an instance at `self` holds everything up to `wanted`.
+    /// Returns whether an instance at `self` holds all entries up to `wanted`.
     pub fn covers(self, wanted: LogPosition) -> bool {
         self >= wanted
     }
@@ -37,7 +37,8 @@
     }
 }
 
-/// The form of a position in messages that travel for each statement: its two numbers alone.
+/// Serializes a position as a pair of numbers, without field names, for the messages that are sent
+/// for each statement.
 pub(crate) mod brief_position {
     use super::LogPosition;
     use crate::GroupTerm;
@@ -60,7 +61,7 @@
         Ok(LogPosition::new(term, index))
     }
 
-    /// The same for a position that may be missing.
+    /// Serializes an optional position in the same way.
     pub(crate) mod optional {
         use super::super::LogPosition;
         use crate::GroupTerm;
--- a/crates/types/src/session.rs
+++ b/crates/types/src/session.rs
@@ -1,4 +1,4 @@
-//! What a statement carries of its session when sessions share connections.
+//! Session state that accompanies a statement, where sessions share endpoint connections.
 
 use crate::AccessMode;
 use crate::LogPosition;
@@ -7,26 +7,26 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// The values that a session has set, by name.
+/// The values of a session's settings, by name.
 pub type SessionValues = BTreeMap<String, String>;
 
-/// What a statement needs of its session.
+/// The session state that a statement depends on.
 ///
-/// Sessions share connections, so nothing of a session may rest on one. The gateway keeps it and
-/// sends along what the next statement needs; the leaseholder brings a connection into that state
-/// before it runs the statement there.
+/// Sessions share endpoint connections, so no session state may be kept in a connection only. The
+/// gateway keeps the state and sends the part that a statement depends on; the leaseholder restores
+/// it on a connection before it runs the statement there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionContext {
-    /// The id by which the caller knows the statement; the endpoint is sent the same.
+    /// The caller's own id of the statement, which is passed on to the endpoint.
     #[serde(rename = "i")]
     pub caller_id: String,
-    /// What the statement does.
+    /// The operation that the statement performs.
     #[serde(rename = "a")]
     pub act: StatementAct,
-    /// The transaction that is to be opened for it; its own statement follows at once.
+    /// The mode of the transaction to open before the statement, if one is to be opened.
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
     pub opens: Option<TransactionMode>,
-    /// The values that hold in the session.
+    /// The values of the session's settings.
     #[serde(rename = "v", default, skip_serializing_if = "SessionValues::is_empty")]
     pub values: SessionValues,
     /// The position of the session's last write, which its reads must cover.
@@ -39,25 +39,25 @@
     pub last_write: Option<LogPosition>,
 }
 
-/// What a statement does.
+/// The operation that a statement performs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StatementAct {
-    /// It reads or writes by its text, which the endpoint is sent unchanged.
+    /// Reads or writes; the statement's text is sent to the endpoint unchanged.
     #[serde(rename = "t")]
     Text(AccessMode),
-    /// It runs a prepared statement; its text holds the arguments.
+    /// Runs a prepared statement; the statement's text contains the arguments.
     #[serde(rename = "p")]
     Prepared(PreparedShape),
-    /// It commits its transaction.
+    /// Commits the statement's transaction.
     #[serde(rename = "c")]
     Commit,
-    /// It rolls its transaction back.
+    /// Rolls back the statement's transaction.
     #[serde(rename = "r")]
     Rollback,
 }
 
 impl StatementAct {
-    /// Returns whether the statement reads or writes; the end of a transaction counts as a write.
+    /// Returns the statement's access mode; a commit or rollback counts as a write.
     pub fn access(&self) -> AccessMode {
         match self {
             Self::Text(access) => *access,
@@ -67,63 +67,63 @@
     }
 }
 
-/// What a prepared statement is. Its name belongs to a session; this is the same for all sessions
-/// that prepare the same.
+/// The definition of a prepared statement. Unlike the statement's name, which belongs to one
+/// session, it is equal for all sessions that prepare the same statement.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PreparedShape {
     /// Whether it reads or writes.
     pub access: AccessMode,
-    /// The shape, in the words of the database.
+    /// The definition, in the database's own syntax.
     pub shape: String,
 }
 
-/// The sort of a transaction.
+/// The access mode of a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TransactionMode {
-    /// It only reads, so that a replica may run it.
+    /// The transaction only reads, so a replica may run it.
     ReadOnly,
-    /// It may write.
+    /// The transaction may write.
     ReadWrite,
 }
 
 /// A fault that an endpoint reported for one statement.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointFault {
-    /// What sort of fault it is.
+    /// The class of the fault.
     pub sort: FaultSort,
-    /// The endpoint's words.
+    /// The endpoint's message.
     pub text: String,
 }
 
-/// What sort of fault an endpoint reported.
+/// The class of a fault that an endpoint reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum FaultSort {
-    /// All slots are in use and its queue is full; nothing ran.
+    /// All the endpoint's slots are in use and its queue is full; nothing ran.
     Busy,
-    /// Its log lacks the position that the statement must see; nothing ran.
+    /// The endpoint has not reached the log position that the statement must read; nothing ran.
     Lagging,
-    /// It isn't the primary, or not any more; nothing ran.
+    /// The endpoint is not the primary, or no longer is; nothing ran.
     ReadOnly,
-    /// It isn't the instance that was expected; nothing ran.
+    /// The endpoint is not the expected instance; nothing ran.
     WrongInstance,
-    /// It takes no more connections; nothing ran.
+    /// The endpoint has reached its connection limit; nothing ran.
     ConnectionLimit,
-    /// It has no prepared statement of that name; nothing ran.
+    /// The endpoint has no prepared statement of that name; nothing ran.
     UnknownStatement,
-    /// It has rolled the transaction back; nothing of it is kept.
+    /// The endpoint rolled the transaction back; none of its effects remain.
     Aborted,
-    /// It ran the statement and failed.
+    /// The endpoint ran the statement, which failed.
     Failed,
-    /// It ran the statement and gave up.
+    /// The endpoint ran the statement, which timed out.
     TimedOut,
-    /// It did not understand the statement, or takes none of this sort now.
+    /// The endpoint could not parse the statement, or does not accept it in its current state.
     Malformed,
-    /// Anything else.
+    /// Any other fault.
     Other,
 }
 
 impl FaultSort {
-    /// Says whether the endpoint promises that the statement did not run.
+    /// Returns whether the fault guarantees that the statement has no effect.
     pub fn has_not_run(self) -> bool {
         match self {
             Self::Busy
--- a/crates/types/src/shape.rs
+++ b/crates/types/src/shape.rs
@@ -1,4 +1,4 @@
-//! What a statement takes and returns, found out without running it.
+//! Descriptions of a statement's parameters and columns, obtained without running the statement.
 
 use crate::CustomerName;
 use crate::DatabaseError;
@@ -11,10 +11,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A statement to describe, on its way from a gateway to a group's leaseholder.
+/// A request to describe a statement, which a gateway sends to a group's leaseholder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShapeRequest {
-    /// Identifies the request; its reply carries the same.
+    /// The identifier of the request; its reply carries the same one.
     pub id: StatementId,
     /// The customer.
     pub customer: CustomerName,
@@ -24,45 +24,45 @@
     pub group: GroupName,
     /// The statement's text.
     pub text: String,
-    /// The transaction in which the statement will run, if one is open.
+    /// The open transaction in which the statement will run, if there is one.
     pub transaction: Option<TransactionId>,
-    /// The time that the gateway has already spent on it, in milliseconds.
+    /// The time that the gateway has already spent on the request, in milliseconds.
     pub spent_ms: u64,
-    /// Whether the receiver is to pass it on to the leaseholder, which the sender can't reach.
+    /// Whether the receiver must forward the request to the leaseholder, which the sender can't reach.
     pub relay: bool,
 }
 
-/// What a statement takes and returns; all of it is in text form.
+/// The parameters and columns of a statement; their values are in text form.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatementShape {
     /// The number of parameters.
     pub parameters: usize,
-    /// The columns' names; empty for a statement that returns no rows.
+    /// The column names; empty for a statement that returns no rows.
     pub columns: Vec<String>,
 }
 
 /// A leaseholder's reply to a [`ShapeRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShapeReply {
-    /// The request that this replies to.
+    /// The identifier of the request.
     pub id: StatementId,
-    /// What was found out.
+    /// The outcome of the description.
     pub outcome: ShapeOutcome,
 }
 
-/// What was found out about a statement's shape. Whatever it is, the statement has not run.
+/// The outcome of a request to describe a statement, which never runs the statement.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ShapeOutcome {
-    /// The statement's shape.
+    /// The statement's parameters and columns.
     Known(StatementShape),
     /// The database reported an error, such as an unknown table.
     Failed(DatabaseError),
-    /// The statement was not described.
+    /// The request was refused.
     Refused(Refusal),
 }
 
 impl ShapeOutcome {
-    /// Creates the outcome of a request that no endpoint answered.
+    /// Creates the outcome of a refused request; see [`Refusal::come_back_after_ms`].
     pub fn refused(cause: RefusalCause, come_back_after_ms: u64) -> Self {
         Self::Refused(Refusal {
             cause,
--- a/crates/types/src/transfer.rs
+++ b/crates/types/src/transfer.rs
@@ -1,8 +1,9 @@
-//! The catalog on its way to a member that holds none of it, or lacks much of it.
+//! Paginated transfer of the catalog to a member that holds none of it or lacks many changes.
 //!
-//! A catalog of hundreds of groups takes longer through a narrow link than a lease runs, so it travels
-//! in pieces, apart from heartbeats. The changes are ordered by the revision that made them; a cursor in
-//! that order says what a member has, whichever control VM it asks next.
+//! Over a low-bandwidth link, a catalog of hundreds of groups takes longer to send than a lease
+//! lasts, so it is sent in pieces, separately from heartbeats. Items are ordered by the revision of
+//! their last change. A cursor in that order records a member's progress and is valid at every
+//! control VM.
 
 use crate::AccountName;
 use crate::CatalogItem;
@@ -14,17 +15,17 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What of the catalog a member needs.
+/// The part of the catalog that a member needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum CatalogScope {
-    /// Everything: the member may lead groups or holds the agreed log.
+    /// The whole catalog, for a member that may lead groups or holds the control VMs' log.
     Whole,
-    /// What it takes to bring a statement to its leaseholder.
+    /// The items that are needed to route a statement to its leaseholder.
     Routing,
 }
 
 impl CatalogScope {
-    /// Returns what a member of these traits needs.
+    /// Returns the scope for a member with these traits.
     pub fn of(traits: MemberTraits) -> Self {
         match traits.control || traits.leaseholder {
             true => Self::Whole,
@@ -33,29 +34,29 @@
     }
 }
 
-/// Names one thing in the catalog.
+/// The key of one item in the catalog.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum CatalogKey {
     /// A contract.
     Contract(CustomerName),
-    /// A contract that is in force no more.
+    /// The removal of a contract.
     Retired(CustomerName),
     /// A group's terms.
     Terms(GroupName),
     /// A member.
     Member(VmName),
-    /// A member that left.
+    /// The removal of a member.
     Departure(VmName),
     /// A group.
     Group(GroupName),
     /// An account.
     Account(AccountName),
-    /// An account that is gone.
+    /// The removal of an account.
     AccountGone(AccountName),
 }
 
 impl CatalogKey {
-    /// Says whether it names something that isn't there any more.
+    /// Returns whether the key stands for a removal.
     pub fn is_gone(&self) -> bool {
         match self {
             Self::Retired(_) | Self::Departure(_) | Self::AccountGone(_) => true,
@@ -68,33 +69,34 @@
     }
 }
 
-/// How far a member's transfer has come: it has all that changed last before this place.
+/// The progress of a member's transfer: the member has all items up to this position in the order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CatalogCursor {
-    /// The revision.
+    /// The revision of the items that were transferred last.
     pub revision: CatalogRevision,
-    /// The last thing of that revision that was taken; `None` if all of them were.
+    /// The last item of that revision that was transferred; `None` if all of them were.
     pub after: Option<CatalogKey>,
 }
 
-/// Asks a control VM for the next piece of the catalog.
+/// A request to a control VM for the next piece of the catalog.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct PieceRequest {
-    /// What the member needs.
+    /// The part of the catalog that the member needs.
     pub scope: CatalogScope,
-    /// What it has.
+    /// The member's progress.
     pub cursor: CatalogCursor,
 }
 
 /// A piece of the catalog.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CatalogPiece {
-    /// Whether the piece begins anew: what departed since the asker's cursor isn't known any more.
+    /// Whether the transfer restarts from the beginning, because removals since the requester's cursor
+    /// are no longer recorded.
     pub restarts: bool,
     /// The revision of the control VM that made the piece.
     pub made_at: CatalogRevision,
-    /// The items, each as it was then.
+    /// The items, in their state at that revision.
     pub items: Vec<CatalogItem>,
-    /// Where the next piece begins.
+    /// The cursor for the next piece.
     pub next: CatalogCursor,
 }
--- a/crates/types/src/verdict.rs
+++ b/crates/types/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What a caller is told about its request.
+//! Request outcomes: whether a request ran, and its answer, refusal or doubt.
 
 use crate::EndpointFault;
 use crate::InstanceName;
@@ -11,19 +11,21 @@
 /// The outcome of a request: whether it ran, did not run, or may have run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestVerdict {
-    /// The endpoint ran the request and this is its answer.
+    /// The endpoint ran the request and returned this answer.
     #[serde(rename = "r")]
     Ran(StatementAnswer),
-    /// No byte of the request can have reached an endpoint, or the endpoint itself said so.
+    /// The request did not run: it cannot have reached an endpoint, or the endpoint reported that
+    /// it had not run it.
     #[serde(rename = "n")]
     NotRun(Refusal),
-    /// The request reached an endpoint and its outcome is unknown.
+    /// The request may have reached an endpoint, and its outcome is unknown.
     #[serde(rename = "m")]
     MayHaveRun(DoubtCause),
 }
 
 impl RequestVerdict {
-    /// Creates the verdict of a request that was refused before it ran.
+    /// Creates the verdict of a request that was refused before it ran; see
+    /// [`Refusal::come_back_after_ms`].
     pub fn refused(cause: RefusalCause, come_back_after_ms: u64) -> Self {
         Self::NotRun(Refusal {
             cause,
@@ -32,17 +34,17 @@
     }
 }
 
-/// A final refusal, with the time after which it is worth asking again.
+/// The refusal of a request, with the time after which the caller may retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why the request did not run.
+    /// The reason for which the request did not run.
     pub cause: RefusalCause,
-    /// The time to wait before asking again, in milliseconds; zero means that asking again is
-    /// useless without a change to the request.
+    /// The time to wait before a retry, in milliseconds; zero means that a retry is useless unless
+    /// the request is changed.
     pub come_back_after_ms: u64,
 }
 
-/// Why a request did not run.
+/// The reason for which a request did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RefusalCause {
     /// The queue or the customer's share of it is full.
@@ -55,40 +57,41 @@
     NoPrimary,
     /// The replicas are too far behind to acknowledge writes.
     ReplicasBehind,
-    /// No live leaseholder could be reached.
+    /// No leaseholder with a live lease could be reached.
     NoLeaseholder,
-    /// This VM holds no lease, or not for this group or epoch.
+    /// This VM holds no lease, or is not the leaseholder of this group or epoch.
     NoLease,
     /// The customer has no contract, or the contract does not allow the request.
     Contract,
-    /// The request key is missing, malformed or older than the window.
+    /// The request key is missing, malformed or older than the window in which keys are remembered.
     RequestKey,
     /// The VM is shutting down.
     Draining,
     /// The endpoint refused the request without running it.
     EndpointRefused,
-    /// The transaction is not open any more.
+    /// The transaction is no longer open.
     TransactionLost,
     /// The caller cancelled the request before it was dispatched.
     Cancelled,
-    /// A limit on sessions, connections or message sizes was met.
+    /// A limit on sessions, connections or message sizes was reached.
     Limit,
-    /// The account has begun as many operations as it may for now.
+    /// The account has reached its rate limit.
     AccountLimit,
-    /// The caller shows no key of the account that it works for.
+    /// The caller did not present a valid key of its account.
     UnknownKey,
 }
 
-/// Why it is unknown whether a request ran.
+/// The reason for which it is unknown whether a request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum DoubtCause {
     /// The endpoint's connection was lost after the request was sent.
     EndpointLost,
     /// The endpoint did not answer before the deadline.
     EndpointSilent,
-    /// The leaseholder was lost after the request was handed to it.
+    /// The leaseholder was lost after the request was sent to it.
     LeaseholderLost,
-    /// The write ran but no majority held it before the deadline or the end of the term.
+    /// The write ran, but no majority of the instances confirmed it before the deadline or the end of
+    /// the term.
     NotConfirmed,
     /// A request with this key was sent earlier and its outcome is unknown.
     EarlierAttempt,
@@ -118,29 +121,29 @@
 
 display_as_debug_words!(RefusalCause, DoubtCause);
 
-/// What an endpoint answered to one statement.
+/// An endpoint's answer to one statement.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StatementAnswer {
     /// Rows, each value in its text form.
     Rows(RowSet),
-    /// A statement without rows ended; the number is the count of affected rows.
+    /// The statement returned no rows; holds the number of affected rows.
     Done(u64),
-    /// The statement ended with rows and a tag that are passed on as the endpoint wrote them.
+    /// The statement returned rows and a completion tag, which are passed on unchanged.
     #[serde(rename = "t")]
     Tagged(TaggedRows),
-    /// The endpoint reported a fault of a sort that it has for all statements.
+    /// The endpoint reported a fault of a general class, such as being busy or read-only.
     Faulted(EndpointFault),
-    /// The endpoint ran the statement and reported an error of its own.
+    /// The endpoint ran the statement and the database reported an error.
     Failed(DatabaseError),
 }
 
-/// An answer that is passed on as the endpoint wrote it.
+/// An answer that is passed on unchanged from the endpoint.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaggedRows {
-    /// The rows, one text each.
+    /// The rows, each as one text.
     #[serde(rename = "r")]
     pub rows: Vec<String>,
-    /// The text that completes the answer.
+    /// The completion tag that ends the answer.
     #[serde(rename = "t")]
     pub tag: String,
 }
@@ -148,9 +151,9 @@
 /// The rows of an answer, in text form.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowSet {
-    /// The columns' names.
+    /// The column names.
     pub columns: Vec<String>,
-    /// The rows; `None` is SQL's null.
+    /// The rows; `None` stands for an SQL `NULL`.
     pub rows: Vec<Vec<Option<String>>>,
 }
 
@@ -163,16 +166,16 @@
     pub message: String,
 }
 
-/// Which instance answered, and where its log stood.
+/// The instance that answered a statement, and its log position.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServedBy {
-    /// The instance.
+    /// The instance that answered.
     #[serde(rename = "i")]
     pub instance: InstanceName,
-    /// Whether it served as a replica.
+    /// Whether the instance answered as a replica.
     #[serde(rename = "r")]
     pub replica: bool,
-    /// The instance's position when it answered.
+    /// The instance's log position at the time of the answer.
     #[serde(rename = "p", with = "brief_position")]
     pub position: LogPosition,
 }
--- a/crates/types/tests/keys.rs
+++ b/crates/types/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Where a client account's key must not show: in what faults and views of a configuration say.
+//! Checks that account keys never appear in error messages or debug output of a configuration.
 
 use ragwort_types::ClientAccount;
 use ragwort_types::ContractDocument;
@@ -7,14 +7,14 @@
 
 const KEY: &str = "k-5b1f0c";
 
-/// A document of one account whose operator wrote its keys like this.
+/// Parses an account whose `keys` field is the given JSON text.
 fn read_account(keys: &str) -> Result<ClientAccount, String> {
     let text = format!(r#"{{"name":"directorate","keys":{keys}}}"#);
     serde_json::from_str(&text).map_err(|error| error.to_string())
 }
 
-/// An operator writes a key where a list of keys belongs, or a number, whose quotes were forgotten. The
-/// answer is logged by whoever sent the document, so it mustn't have the key.
+/// An operator writes a single key instead of a list, or forgets a key's quotes. The sender of the
+/// document logs the error message, so it must not contain the key.
 #[test]
 fn faulty_keys_are_refused_without_being_shown() {
     let faulty = [
@@ -47,7 +47,8 @@
     );
 }
 
-/// A document holds keys twice, read and as text; neither shows where a document is printed for a developer.
+/// A document contains keys in its parsed accounts and in its source text; the debug output must show
+/// neither.
 #[test]
 fn printed_document_shows_no_key() {
     let account = read_account(&format!(r#"["{KEY}"]"#)).unwrap();
--- a/crates/types/tests/statement_size.rs
+++ b/crates/types/tests/statement_size.rs
@@ -1,4 +1,4 @@
-//! How much travels with each statement besides its text and its rows.
+//! Checks the serialized size of statements and replies apart from their text and rows.
 
 use ragwort_types::AccessMode;
 use ragwort_types::GroupTerm;
@@ -16,11 +16,12 @@
 use ragwort_types::TaggedRows;
 use ragwort_types::TransactionStep;
 
-/// The most bytes around a statement's text: ids and names that are drawn by others take 90.
-const MOST_AROUND_TEXT: usize = 200;
+/// The maximum size of a request without its text, in bytes. Ids and names, whose length the project
+/// doesn't control, take 90 of them.
+const MAX_REQUEST_OVERHEAD_BYTES: usize = 200;
 
-/// The most bytes around an answer's rows.
-const MOST_AROUND_ROWS: usize = 140;
+/// The maximum size of a reply without its rows, in bytes.
+const MAX_REPLY_OVERHEAD_BYTES: usize = 140;
 
 fn create_request(step: TransactionStep, last_write: Option<LogPosition>) -> StatementRequest {
     StatementRequest {
@@ -66,22 +67,22 @@
     }
 }
 
-/// Statements cross failure domains, where each byte is paid for. Names of fields and empty values
-/// took more of a statement than its text did.
+/// Traffic between failure domains is billed by the byte, and full field names and empty values took
+/// more bytes than the statement's text did.
 #[test]
-fn little_travels_around_a_statement() {
+fn statement_overhead_is_bounded() {
     let last_write = Some(LogPosition::new(GroupTerm(2), 75));
     let request = create_request(TransactionStep::Single, last_write);
     let request = serde_json::to_string(&request).unwrap();
-    assert!(request.len() <= MOST_AROUND_TEXT, "{request}");
+    assert!(request.len() <= MAX_REQUEST_OVERHEAD_BYTES, "{request}");
     let reply = serde_json::to_string(&create_reply()).unwrap();
-    assert!(reply.len() <= MOST_AROUND_ROWS, "{reply}");
+    assert!(reply.len() <= MAX_REPLY_OVERHEAD_BYTES, "{reply}");
 }
 
-/// What is left out of a statement on its way must be found as it was: a lost transaction step would
-/// run a statement outside of its transaction, and a lost position would show old data.
+/// Omitted fields must be restored on deserialization: a lost transaction step would run a statement
+/// outside its transaction, and a lost position would allow a stale read.
 #[test]
-fn statements_arrive_as_they_were_sent() {
+fn statements_round_trip() {
     let id = ragwort_types::TransactionId::fresh();
     let steps = [
         TransactionStep::Single,
