--- a/crates/rpc/src/compact.rs
+++ b/crates/rpc/src/compact.rs
@@ -1,17 +1,18 @@
-//! A compact form of long texts and values on their way between VMs.
+//! Compressed encoding of long JSON texts and values between VMs.
 //!
-//! # The load it answers
+//! # Load
 //!
-//! A whole configuration is some ten to a hundred kilobytes of JSON. It travels within a command,
-//! within a message, within a call, and each of them escapes the quotes of the one inside, so that
-//! one quote takes eight bytes. Operators change it 2,300 times a day, and a VM's link may carry
-//! only 250 KB a second, which heartbeats share. After a loss of power each VM gets the whole
-//! catalog with its first lease, and all of them at the same moment.
+//! A whole configuration is some ten to a hundred kilobytes of JSON. It is nested in a command, a
+//! message and a call, each of which escapes the quotes of the inner one, so that one quote takes
+//! eight bytes. Operators change the configuration 2,300 times a day, and a VM's link may carry only
+//! 250 KB per second, which it shares with heartbeats. After a power failure, all VMs receive the
+//! whole catalog at the same time, each with its first lease.
 //!
-//! # Grounds for its figures
+//! # Format
 //!
-//! Short texts, such as heartbeats, stay as they are: below [`SHORT_TEXT`] the compressed form in
-//! base64 is hardly shorter, and a reader of the wire can understand them.
+//! A compact text is a mark, then the base64 text of the deflated JSON. Texts shorter than
+//! [`COMPRESSION_THRESHOLD_BYTES`], such as heartbeats, are not encoded: the compact form would hardly
+//! be shorter, and they stay readable in a packet capture.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD_NO_PAD;
@@ -29,24 +30,24 @@
 use std::io::Read;
 use std::io::Write;
 
-/// Texts below this size, in bytes, stay as they are.
-const SHORT_TEXT: usize = 1_024;
+/// The size, in bytes, below which texts are sent unchanged.
+const COMPRESSION_THRESHOLD_BYTES: usize = 1_024;
 
-/// The most that a compact text may expand to, in bytes: four batches of entries with the largest
-/// configuration that is taken.
-const LONGEST_TEXT: u64 = 64 * 1_024 * 1_024;
+/// The maximum expanded size of a compact text, in bytes: four batches of log entries with the largest
+/// configuration that is accepted.
+const MAX_EXPANDED_BYTES: u64 = 64 * 1_024 * 1_024;
 
-/// What a compact text begins with; no JSON text does.
+/// The first character of a compact text; no JSON text begins with it.
 const COMPACT_MARK: char = 'z';
 
-/// Why a compact text could not be expanded.
+/// An error that occurs when a compact text is expanded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExpandError {
-    /// It isn't base64.
+    /// The text is not valid base64.
     NotBase64,
-    /// It isn't a compressed text.
+    /// The data is not a deflated text.
     NotCompressed,
-    /// It expands to more than any message may have.
+    /// The expanded text exceeds the limit.
     TooLong,
 }
 
@@ -54,24 +55,25 @@
     fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
         formatter.write_str(match self {
             Self::NotBase64 => "compact text is not base64",
-            Self::NotCompressed => "compact text is not compressed text",
-            Self::TooLong => "compact text expands to more than a message may have",
+            Self::NotCompressed => "compact text can't be decompressed",
+            Self::TooLong => "compact text expands beyond the maximum size",
         })
     }
 }
 
 impl std::error::Error for ExpandError {}
 
-/// Returns the compact form of a JSON text, or the text itself if that is shorter.
+/// Returns the compact form of a JSON text, or the text itself if it is short or the compact form
+/// would be no shorter.
 pub fn compact_text(text: String) -> String {
-    if text.len() < SHORT_TEXT {
+    if text.len() < COMPRESSION_THRESHOLD_BYTES {
         return text;
     }
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     let compressed = encoder
         .write_all(text.as_bytes())
         .and_then(|()| encoder.finish());
-    // Writing into memory doesn't fail; if it did, the text itself would do.
+    // Writing to memory can't fail; the unchanged text would be valid as well.
     let Ok(compressed) = compressed else {
         return text;
     };
@@ -83,11 +85,12 @@
     }
 }
 
-/// Returns the text that [`compact_text`] was given.
+/// Returns the JSON text from which [`compact_text`] created `text`.
 ///
 /// # Errors
 ///
-/// A text with the mark of the compact form that isn't one, or that is too long.
+/// Returns an error if the text has the mark of the compact form but is not valid, or if it expands
+/// to more than the limit.
 pub fn expand_text(text: &str) -> Result<Cow<'_, str>, ExpandError> {
     let Some(compact) = text.strip_prefix(COMPACT_MARK) else {
         return Ok(Cow::Borrowed(text));
@@ -95,17 +98,18 @@
     let compressed = STANDARD_NO_PAD.decode(compact);
     let compressed = compressed.map_err(|_| ExpandError::NotBase64)?;
     let mut expanded = String::new();
-    let mut decoder = DeflateDecoder::new(compressed.as_slice()).take(LONGEST_TEXT + 1);
+    let mut decoder = DeflateDecoder::new(compressed.as_slice()).take(MAX_EXPANDED_BYTES + 1);
     decoder
         .read_to_string(&mut expanded)
         .map_err(|_| ExpandError::NotCompressed)?;
-    match expanded.len() as u64 > LONGEST_TEXT {
+    match expanded.len() as u64 > MAX_EXPANDED_BYTES {
         true => Err(ExpandError::TooLong),
         false => Ok(Cow::Owned(expanded)),
     }
 }
 
-/// A value whose JSON text is sent in its compact form if it is long; it must not be any text itself.
+/// A value that is serialized in the compact form if its JSON text is long. `T` must not accept
+/// arbitrary strings, which could not be distinguished from the compact form.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CompactJson<T>(
     /// The value.
@@ -126,7 +130,7 @@
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum CompactForm<T> {
-    /// It comes first: a value of an enum may be a text as well.
+    /// Tried first, because a unit variant of an enum is serialized as a string too.
     Plain(T),
     Compact(String),
 }
--- a/crates/rpc/src/frames.rs
+++ b/crates/rpc/src/frames.rs
@@ -1,16 +1,18 @@
-//! Frames in which statements and their replies travel between VMs.
+//! Length-prefixed frames for statements and their replies between VMs.
 //!
-//! # The load it answers
+//! # Load
 //!
-//! Each statement crosses from a gateway to a leaseholder and its rows come back, mostly between
-//! failure domains, where bytes cost money, and on the smallest VMs over a link of 2 Mbit/s.
+//! Each statement is sent from a gateway to a leaseholder and its rows are returned, mostly between
+//! failure domains, where traffic is billed by the byte, and on the smallest VMs over a link of
+//! 2 Mbit/s.
 //!
-//! # Grounds for its figures
+//! # Format
 //!
-//! A frame is a length, a byte that says whether it is compressed, and a message in MessagePack with
-//! the fields' one-letter names, so that a VM of the next release can leave fields out or add some.
-//! Texts in rows have few different letters, so entropy coding alone takes a third off them. Below
-//! [`SHORT_MESSAGE`] bytes the head of a compressed frame eats up what is saved.
+//! A frame is a length (4 bytes, big-endian), a byte that tells whether the rest is compressed, and a
+//! MessagePack message. Fields are encoded under one-letter names, so that the next release can omit
+//! fields or add new ones. The text of rows uses few different letters, so entropy coding alone saves
+//! a third. Below [`COMPRESSION_THRESHOLD_BYTES`], the header of a compressed frame outweighs the
+//! saving.
 
 use bytes::Buf;
 use bytes::BufMut;
@@ -26,25 +28,25 @@
 use zstd::bulk::Compressor;
 use zstd::bulk::Decompressor;
 
-/// Messages below this size, in bytes, are sent as they are.
-const SHORT_MESSAGE: usize = 160;
+/// The size, in bytes, below which messages are sent uncompressed.
+const COMPRESSION_THRESHOLD_BYTES: usize = 160;
 
-/// The largest frame, in bytes, compressed or not: a statement of 1 MiB with its session, or rows of a
-/// few.
-const LONGEST_MESSAGE: usize = 16 * 1024 * 1024 - 1;
+/// The maximum size of a frame, in bytes, compressed or not. A statement of 1 MiB with its session
+/// state fits, as do rows of a few MiB.
+const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024 - 1;
 
-/// Compression's fastest setting: its work is one pass and entropy coding.
+/// The fastest zstd compression level: one pass and entropy coding.
 const COMPRESSION_LEVEL: i32 = 1;
 
-/// The bytes in which a compressed frame names the length of its message.
-const LENGTH_BYTES: usize = 3;
+/// The number of bytes in which a compressed frame encodes its message's uncompressed length.
+const UNCOMPRESSED_LENGTH_BYTES: usize = 3;
 
 const PLAIN: u8 = 0;
 const COMPRESSED: u8 = 1;
 
-/// What two VMs say to each other about statements.
+/// A frame of the statement protocol between two VMs.
 ///
-/// Calls are numbered by the side that makes them, so that replies may come in any order.
+/// The calling side numbers its calls, so that replies may arrive in any order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StatementFrame {
     /// Runs a statement at the group's leaseholder.
@@ -56,33 +58,34 @@
     /// Replies to a call.
     #[serde(rename = "r")]
     Reply(u64, StatementReply),
-    /// Says that a call will have no reply; its statement may have run.
+    /// Reports that a call will get no reply; its statement may have run.
     #[serde(rename = "l")]
     Lost(u64),
-    /// Asks whether the other side still answers.
+    /// Requests a [`Pong`](Self::Pong), to check that the other side still responds.
     #[serde(rename = "p")]
     Ping,
-    /// Answers that question.
+    /// Responds to a [`Ping`](Self::Ping).
     #[serde(rename = "o")]
     Pong,
-    /// Says that the leaseholder's VM stops: it answers what it has got and is to get no more calls.
+    /// Announces that the leaseholder's VM is shutting down: it replies to the calls that it has
+    /// received, and must not be sent new ones.
     #[serde(rename = "e")]
     Stopping,
 }
 
-/// Why a frame could not be written or read. The connection can't be used further.
+/// An error that occurs when a frame is encoded or decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    /// The message is longer than any may be.
+    /// The message exceeds the maximum frame size.
     TooLong,
-    /// The bytes are no frame, or hold no message.
+    /// The bytes are not a valid frame, or the frame contains no valid message.
     Malformed,
 }
 
 impl fmt::Display for FrameError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Self::TooLong => "message longer than a frame may be",
+            Self::TooLong => "message exceeds the maximum frame size",
             Self::Malformed => "malformed frame",
         })
     }
@@ -90,7 +93,7 @@
 
 impl std::error::Error for FrameError {}
 
-/// Writes frames to a buffer and reads them from one.
+/// Encodes and decodes the frames of one connection.
 pub struct FrameCodec {
     lengths: LengthDelimitedCodec,
     compressor: Compressor<'static>,
@@ -102,10 +105,10 @@
     ///
     /// # Errors
     ///
-    /// Returns the compression library's error, which is one of memory.
+    /// Returns the compression library's error if it can't allocate memory.
     pub fn new() -> io::Result<Self> {
         let lengths = LengthDelimitedCodec::builder()
-            .max_frame_length(LONGEST_MESSAGE)
+            .max_frame_length(MAX_FRAME_BYTES)
             .new_codec();
         Ok(Self {
             lengths,
@@ -118,25 +121,26 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the message is too long for a frame; nothing is appended then.
+    /// Returns an error, and leaves `buffer` unchanged, if the message is too long or can't be
+    /// serialized.
     pub fn encode(
         &mut self,
         frame: &StatementFrame,
         buffer: &mut BytesMut,
     ) -> Result<(), FrameError> {
         let message = rmp_serde::to_vec_named(frame).map_err(|_| FrameError::Malformed)?;
-        if message.len() >= LONGEST_MESSAGE {
+        if message.len() >= MAX_FRAME_BYTES {
             return Err(FrameError::TooLong);
         }
-        let compressed = match message.len() < SHORT_MESSAGE {
+        let compressed = match message.len() < COMPRESSION_THRESHOLD_BYTES {
             true => None,
             false => self.compressor.compress(&message).ok(),
         };
-        match compressed.filter(|body| body.len() + LENGTH_BYTES < message.len()) {
+        match compressed.filter(|body| body.len() + UNCOMPRESSED_LENGTH_BYTES < message.len()) {
             Some(body) => {
-                buffer.put_u32((1 + LENGTH_BYTES + body.len()) as u32);
+                buffer.put_u32((1 + UNCOMPRESSED_LENGTH_BYTES + body.len()) as u32);
                 buffer.put_u8(COMPRESSED);
-                buffer.put_uint(message.len() as u64, LENGTH_BYTES);
+                buffer.put_uint(message.len() as u64, UNCOMPRESSED_LENGTH_BYTES);
                 buffer.put_slice(&body);
             }
             None => {
@@ -148,18 +152,18 @@
         Ok(())
     }
 
-    /// Takes the next frame from `buffer`; `None` if it isn't there as a whole.
+    /// Removes the next frame from `buffer`, or returns `None` if the frame is incomplete.
     ///
     /// # Errors
     ///
-    /// Returns an error if the bytes can't be a frame.
+    /// Returns an error if the bytes are not a valid frame; the connection can't be used further.
     pub fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<StatementFrame>, FrameError> {
         let frame = self.lengths.decode(buffer);
         let Some(frame) = frame.map_err(|_| FrameError::TooLong)? else {
             return Ok(None);
         };
-        let (mark, body) = frame.split_first().ok_or(FrameError::Malformed)?;
-        let message = match *mark {
+        let (compression, body) = frame.split_first().ok_or(FrameError::Malformed)?;
+        let message = match *compression {
             PLAIN => rmp_serde::from_slice(body),
             COMPRESSED => rmp_serde::from_slice(&self.expand(body)?),
             _ => return Err(FrameError::Malformed),
@@ -168,10 +172,10 @@
     }
 
     fn expand(&mut self, mut body: &[u8]) -> Result<Vec<u8>, FrameError> {
-        if body.len() < LENGTH_BYTES {
+        if body.len() < UNCOMPRESSED_LENGTH_BYTES {
             return Err(FrameError::Malformed);
         }
-        let length = body.get_uint(LENGTH_BYTES) as usize;
+        let length = body.get_uint(UNCOMPRESSED_LENGTH_BYTES) as usize;
         let message = self.decompressor.decompress(body, length);
         message.map_err(|_| FrameError::Malformed)
     }
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -1,8 +1,8 @@
-//! The remote calls between processes: which process answers what.
+//! Remote procedure calls between processes, and the wire formats for statements and the catalog.
 //!
-//! Each trait becomes a server and a client through `jsonrpsee`. A call that fails to connect has
-//! not run; a call that fails afterwards may have. Statements, which are nearly all of the traffic,
-//! have a link of their own, whose frames [`FrameCodec`] writes and reads.
+//! `jsonrpsee` generates a server and a client from each trait. A call that fails to connect has
+//! not run; a call that fails later may have run. Statements, which are nearly all of the traffic,
+//! are sent over separate connections, whose frames [`FrameCodec`] encodes and decodes.
 
 mod compact;
 mod frames;
@@ -62,7 +62,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Calls between VMs.
+/// The calls between VMs.
 #[rpc(server, client, namespace = "peer")]
 pub trait PeerApi {
     /// Runs a statement at the group's leaseholder.
@@ -81,11 +81,11 @@
     #[method(name = "cancel")]
     async fn cancel(&self, group: GroupName, id: StatementId) -> RpcResult<()>;
 
-    /// Holds journal entries as a standby.
+    /// Stores journal entries on a standby.
     #[method(name = "appendJournal")]
     async fn append_journal(&self, append: JournalAppend) -> RpcResult<JournalReply>;
 
-    /// Hands the held journal over to a new leaseholder.
+    /// Returns the VM's copy of a journal to a new leaseholder.
     #[method(name = "readJournal")]
     async fn read_journal(&self, request: JournalRequest) -> RpcResult<JournalCopy>;
 
@@ -93,39 +93,41 @@
     #[method(name = "heartbeat")]
     async fn heartbeat(&self, request: HeartbeatRequest) -> RpcResult<CompactJson<HeartbeatReply>>;
 
-    /// Returns the next piece of the catalog in its packed form; see [`unpack_piece`].
+    /// Returns the next piece of the catalog in its packed form, which [`unpack_piece`] decodes.
     #[method(name = "readCatalog")]
     async fn read_catalog(&self, request: PieceRequest) -> RpcResult<Arc<str>>;
 
-    /// Passes heartbeats on to the control leader.
+    /// Forwards heartbeats to the control leader.
     #[method(name = "heartbeatBatch")]
     async fn heartbeat_batch(&self, batch: HeartbeatBatch) -> RpcResult<Vec<HeartbeatReply>>;
 
-    /// Proposes a catalog command, passing it on to the control leader.
+    /// Proposes a catalog command, forwarding it to the control leader if necessary.
     #[method(name = "propose")]
     async fn propose(&self, request: CommandRequest) -> RpcResult<CommandReply>;
 
-    /// Takes an agreement message.
+    /// Receives a consensus message.
     #[method(name = "agree")]
     async fn agree(&self, envelope: AgreementEnvelope) -> RpcResult<()>;
 
-    /// Says how far an accepted change has come, if the asked VM leads the control VMs.
+    /// Returns the propagation state of an accepted change, if this VM is the control leader.
     #[method(name = "leaderForce")]
     async fn leader_force(&self, acceptance: ContractAcceptance) -> RpcResult<Option<ForceStatus>>;
 
-    /// Says which voter this control VM is, before the first voter set is formed.
+    /// Returns the identity of this VM's control state, if it is a control VM. It is used to form the
+    /// first voter set.
     #[method(name = "controlIdentity")]
     async fn control_identity(&self) -> RpcResult<Option<ControlIdentity>>;
 
-    /// Says which document is the newest, if the asked VM leads the control VMs.
+    /// Returns the newest document, if this VM is the control leader.
     #[method(name = "leaderDocument")]
     async fn leader_document(&self) -> RpcResult<DocumentReading>;
 
-    /// Writes the first voter set; false if the log isn't empty.
+    /// Writes the first voter set to the log; returns false if the log is not empty.
     #[method(name = "formVoters")]
     async fn form_voters(&self, voters: Vec<MemberId>) -> RpcResult<bool>;
 
-    /// Says whether this VM can reach an endpoint's agent, for a second view from another domain.
+    /// Returns whether this VM can reach an endpoint's agent, as a second opinion from another failure
+    /// domain.
     #[method(name = "probeInstance")]
     async fn probe_instance(
         &self,
@@ -133,20 +135,20 @@
         expected: InstanceIdentity,
     ) -> RpcResult<bool>;
 
-    /// Takes an announcement that another VM passes on, and says whether this VM leads the group.
+    /// Processes an announcement that another VM forwards, and returns whether this VM leads the group.
     #[method(name = "passAnnouncement")]
     async fn pass_announcement(&self, announcement: EndpointAnnouncement) -> RpcResult<bool>;
 
-    /// Lends parts of accounts' limits whose ledgers this VM keeps.
+    /// Grants shares of the limits of accounts whose ledgers this VM keeps.
     #[method(name = "lendLimits")]
     async fn lend_limits(&self, request: LimitRequest) -> RpcResult<LimitReply>;
 
-    /// Answers at once, to tell a silent connection from a live one.
+    /// Replies at once, so that the caller can detect a dead connection.
     #[method(name = "ping")]
     async fn ping(&self) -> RpcResult<()>;
 }
 
-/// Calls by operators, answered by every daemon.
+/// The calls by operators, which every daemon serves.
 #[rpc(server, client, namespace = "operator")]
 pub trait OperatorApi {
     /// Applies a contract change.
@@ -157,11 +159,11 @@
     #[method(name = "applyDocument")]
     async fn apply_document(&self, document: ContractDocument) -> RpcResult<DocumentReply>;
 
-    /// Returns the whole configuration that a majority confirms to be the newest.
+    /// Returns the newest configuration document, as confirmed by a majority of the control VMs.
     #[method(name = "readDocument")]
     async fn read_document(&self) -> RpcResult<DocumentReading>;
 
-    /// Says how far an accepted change has come.
+    /// Returns the propagation state of an accepted change.
     #[method(name = "forceStatus")]
     async fn force_status(&self, acceptance: ContractAcceptance) -> RpcResult<ForceStatus>;
 
@@ -173,7 +175,7 @@
     #[method(name = "listContracts")]
     async fn list_contracts(&self) -> RpcResult<Vec<VersionedContract>>;
 
-    /// Returns what this VM knows of the system.
+    /// Returns this VM's status and its view of the groups and members.
     #[method(name = "status")]
     async fn status(&self) -> RpcResult<NodeStatus>;
 
@@ -185,23 +187,24 @@
     #[method(name = "drain")]
     async fn drain(&self) -> RpcResult<()>;
 
-    /// Forms the first voter set from the control VMs of this VM's settings.
+    /// Forms the first voter set from the control VMs in this VM's settings.
     #[method(name = "form")]
     async fn form(&self) -> RpcResult<FormReply>;
 }
 
-/// Calls by endpoints' agents, answered by every daemon.
+/// The calls by endpoints' agents, which every daemon serves.
 #[rpc(server, client, namespace = "endpoint")]
 pub trait AnnounceApi {
-    /// Takes an endpoint's announcement and says where to announce from now on.
+    /// Processes an endpoint's announcement and returns the addresses for further announcements.
     #[method(name = "announce")]
     async fn announce(&self, announcement: EndpointAnnouncement) -> RpcResult<AnnouncementReply>;
 }
 
-/// Calls answered by an endpoint's agent. It belongs to the platform, not to ragwortgate.
+/// The calls that an endpoint's agent serves. The agent is part of the platform, not of
+/// ragwortgate.
 #[rpc(server, client, namespace = "agent")]
 pub trait AgentApi {
-    /// Says which instance this agent speaks for.
+    /// Returns the identity of the agent's instance.
     #[method(name = "identity")]
     async fn identity(&self) -> RpcResult<InstanceIdentity>;
 
@@ -221,11 +224,12 @@
     #[method(name = "fence")]
     async fn fence(&self, term: GroupTerm) -> RpcResult<FenceReply>;
 
-    /// Makes the instance the primary of `term`, at which it was fenced before.
+    /// Makes the instance the primary of `term`; it must have been fenced at `term` before.
     #[method(name = "promote")]
     async fn promote(&self, term: GroupTerm) -> RpcResult<FenceReply>;
 
-    /// Makes the instance follow the primary of `term`, dropping what that primary lacks.
+    /// Makes the instance replicate from the primary of `term`, discarding entries that the primary
+    /// does not have.
     #[method(name = "follow")]
     async fn follow(
         &self,
--- a/crates/rpc/src/pieces.rs
+++ b/crates/rpc/src/pieces.rs
@@ -1,28 +1,30 @@
-//! Pieces of the catalog as they travel between VMs.
+//! Wire format of catalog pieces.
 //!
-//! A piece is its length, then a message in MessagePack, compressed, all in base64: names of fields and of VMs
-//! repeat with each item, so that compression leaves about a tenth of it.
+//! A packed piece is the base64 text of the uncompressed length (4 bytes, big-endian) and a
+//! MessagePack message compressed with zstd. Field names and VM names repeat in each item, so
+//! compression leaves about a tenth of the size.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD_NO_PAD;
 use ragwort_types::CatalogPiece;
 use std::fmt;
 
-/// The most that a piece may expand to, in bytes: many times what control VMs put into one, as a single
-/// item may be large.
-const LONGEST_PIECE: usize = 16 * 1_024 * 1_024;
+/// The maximum uncompressed size of a piece, in bytes. It is many times the size that control VMs
+/// aim for, because a single item may be large.
+const MAX_PIECE_BYTES: usize = 16 * 1_024 * 1_024;
 
-/// A good ratio, at a fraction of the time that the piece then takes through a narrow link.
+/// The zstd compression level. It compresses well, and takes a fraction of the time that sending the
+/// piece over a low-bandwidth link takes.
 const COMPRESSION_LEVEL: i32 = 6;
 
-/// Why a piece could not be packed or read.
+/// An error that occurs when a piece is packed or unpacked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PieceError {
-    /// The text isn't base64.
+    /// The text is not valid base64.
     NotBase64,
-    /// It isn't compressed, or expands to more than a piece may have.
+    /// The data can't be decompressed, or its uncompressed size exceeds the limit.
     NotCompressed,
-    /// It holds no piece, or the piece can't be written.
+    /// The message can't be serialized, or is not a valid piece.
     Malformed,
 }
 
@@ -30,7 +32,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Self::NotBase64 => "piece is not base64",
-            Self::NotCompressed => "piece is not compressed, or is too long",
+            Self::NotCompressed => "piece can't be decompressed, or is too long",
             Self::Malformed => "malformed piece",
         })
     }
@@ -38,11 +40,11 @@
 
 impl std::error::Error for PieceError {}
 
-/// Packs a piece.
+/// Packs a piece into its wire format.
 ///
 /// # Errors
 ///
-/// Returns an error if the piece can't be written, which is a fault of this build.
+/// Returns an error if the piece can't be serialized or compressed, which indicates a bug.
 pub fn pack_piece(piece: &CatalogPiece) -> Result<String, PieceError> {
     let message = rmp_serde::to_vec_named(piece).map_err(|_| PieceError::Malformed)?;
     let length = u32::try_from(message.len()).map_err(|_| PieceError::Malformed)?;
@@ -52,11 +54,11 @@
     Ok(STANDARD_NO_PAD.encode(packed))
 }
 
-/// Reads a piece that [`pack_piece`] wrote.
+/// Unpacks a piece that [`pack_piece`] packed.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with the text.
+/// Returns an error if the text is not a valid packed piece.
 pub fn unpack_piece(text: &str) -> Result<CatalogPiece, PieceError> {
     let packed = STANDARD_NO_PAD.decode(text);
     let packed = packed.map_err(|_| PieceError::NotBase64)?;
@@ -64,7 +66,7 @@
         .split_first_chunk()
         .ok_or(PieceError::NotCompressed)?;
     let length = u32::from_be_bytes(*length) as usize;
-    if length > LONGEST_PIECE {
+    if length > MAX_PIECE_BYTES {
         return Err(PieceError::NotCompressed);
     }
     let message = zstd::bulk::decompress(compressed, length);
--- a/crates/rpc/tests/compact.rs
+++ b/crates/rpc/tests/compact.rs
@@ -1,4 +1,4 @@
-//! Long texts between control VMs: shorter on their way, the same on arrival.
+//! Tests of the compact encoding of long texts and values.
 
 use quickcheck::Arbitrary;
 use quickcheck::Gen;
@@ -9,7 +9,7 @@
 use ragwort_types::HeartbeatReply;
 use std::fmt::Write;
 
-/// Returns a configuration of many alike contracts, as it stands within two layers of JSON.
+/// Returns a configuration of many similar contracts, nested in two layers of JSON.
 fn nested_configuration() -> String {
     let mut source = String::from("{\"contracts\":[");
     for number in 0..200 {
@@ -19,8 +19,8 @@
     serde_json::json!({ "entries": [command] }).to_string()
 }
 
-/// An operator changes a large configuration while VMs have narrow links. If each change travelled
-/// as it is written, heartbeats would wait behind it, and leases would end.
+/// An operator changes a large configuration while VMs have low-bandwidth links. Without compression,
+/// heartbeats would be queued behind each change and leases would expire.
 #[test]
 fn configuration_shrinks_to_a_tenth() {
     let text = nested_configuration();
@@ -34,14 +34,14 @@
     assert_eq!(expand_text(&compact).unwrap(), text);
 }
 
-/// Heartbeats are short, and those who look for a fault read them on the wire.
+/// Short texts such as heartbeats are not encoded, so that they are readable in a packet capture.
 #[test]
 fn short_text_stays_readable() {
     let text = "{\"h\":1}".to_owned();
     assert_eq!(compact_text(text.clone()), text);
 }
 
-/// A message is cut or damaged on its way. The receiver must say so and go on.
+/// Truncated or corrupted texts must be reported as errors.
 #[test]
 fn damaged_text_is_refused() {
     let compact = compact_text(nested_configuration());
@@ -51,9 +51,9 @@
     assert_eq!(expand_text("zAAAA"), Err(ExpandError::NotCompressed));
 }
 
-/// Whatever a JSON text holds arrives as it was.
+/// Any JSON text must survive encoding and decoding.
 #[test]
-fn any_text_arrives_as_it_was() {
+fn any_text_round_trips() {
     for seed in 0..300 {
         let mut generator = Gen::from_size_and_seed(60, seed);
         let words = Vec::<String>::arbitrary(&mut generator);
@@ -64,8 +64,8 @@
     }
 }
 
-/// A VM returns after a loss of power and gets the whole catalog with its lease; all others do the
-/// same at that moment. The reply shrinks, and what it holds is the same.
+/// After a power failure, all VMs receive the whole catalog with their first lease at the same time.
+/// The reply must be compressed and must decode to the same value.
 #[test]
 fn long_value_is_compact_on_the_wire() {
     let value = vec![nested_configuration(); 3];
@@ -75,7 +75,7 @@
     assert_eq!(arrived.0, value);
 }
 
-/// A short reply travels as it would without the compact form.
+/// A short reply must be serialized as plain JSON.
 #[test]
 fn short_value_is_plain_on_the_wire() {
     let wire = serde_json::to_string(&CompactJson(vec![1, 2, 3])).unwrap();
--- a/crates/rpc/tests/frames.rs
+++ b/crates/rpc/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames between VMs: what is written is read, whatever else arrives.
+//! Tests of the statement frames between VMs, with split, corrupted and random input.
 
 use bytes::BufMut;
 use bytes::BytesMut;
@@ -121,10 +121,10 @@
     );
 }
 
-/// Bytes arrive in pieces of any size. A frame that were read too early, or lost at a cut, would leave
-/// a caller without its answer.
+/// Bytes arrive in chunks of any size. A frame that is decoded too early, or lost at a chunk
+/// boundary, would leave a caller without its reply.
 #[test]
-fn frames_survive_any_cut() {
+fn frames_split_at_any_point_are_decoded() {
     let frames = samples();
     let whole = write_all(&frames);
     for piece in 1..whole.len().min(80) {
@@ -139,7 +139,8 @@
     }
 }
 
-/// Rows of letters, as they are sent each time, between failure domains that are paid by the byte.
+/// Traffic between failure domains is billed by the byte, so rows of text must be compressed to less
+/// than two thirds.
 #[test]
 fn rows_of_letters_take_two_thirds() {
     let row = StatementFrame::Reply(7, reply(rows(800)));
@@ -147,10 +148,10 @@
     assert!(write_all(&[row]).len() * 3 < text.len() * 2);
 }
 
-/// Another program, or a broken one, sends what is no frame. The connection is of no use then, but the
-/// process must not fall over or take endless memory.
+/// Another program, or a faulty one, may send arbitrary bytes. The codec must report an error without
+/// panicking or allocating unbounded memory.
 #[test]
-fn no_bytes_panic() {
+fn random_bytes_do_not_panic() {
     fn any_bytes(bytes: Vec<u8>) -> bool {
         let mut codec = FrameCodec::new().unwrap();
         let mut buffer = BytesMut::from(bytes.as_slice());
@@ -163,8 +164,8 @@
         .quickcheck(any_bytes as fn(Vec<u8>) -> bool);
 }
 
-/// A length that no frame has stands for a stream that is out of step. Waiting for that many bytes
-/// would hold the link's callers until their deadlines.
+/// A length above the maximum means that the stream is corrupted. Waiting for that many bytes would
+/// block the link's callers until their deadlines.
 #[test]
 fn impossible_lengths_are_refused() {
     let mut buffer = BytesMut::from(&[0xff, 0xff, 0xff, 0xff, 0][..]);
--- a/crates/rpc/tests/pieces.rs
+++ b/crates/rpc/tests/pieces.rs
@@ -1,4 +1,4 @@
-//! Pieces of the catalog on the wire.
+//! Tests of the wire format of catalog pieces.
 
 use ragwort_rpc::PieceError;
 use ragwort_rpc::pack_piece;
@@ -84,8 +84,8 @@
 }
 
 piece_cases! {
-    /// What is packed by one VM is what the other one reads, whatever the piece holds.
-    pieces_come_out_as_they_went_in {
+    /// Packing and unpacking must return the same piece, whether empty or with all kinds of items.
+    pieces_round_trip {
         let mixed = (0..50).flat_map(|number| {
             [member(number), group(number), account(number as u8)]
         });
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Three hundred gateways come back at once, each through a link of 250 KB a second. Their copies arrive
-    /// in time only if compression leaves an eighth of the records' text.
+    /// When 300 gateways restart at once, each with a link of 250 KB per second, they get the catalog in
+    /// time only if compression reduces the records to an eighth of their JSON text.
     packed_records_take_an_eighth {
         let whole = piece((0..300).flat_map(|number| [member(number), group(number)]).collect());
         let plain = serde_json::to_string(&whole).unwrap();
@@ -104,9 +104,9 @@
         assert!(packed.len() * 8 < plain.len(), "{} of {} bytes", packed.len(), plain.len());
     }
 
-    /// A text that is no piece, or that names a length beyond any piece's, is refused with a reason and
-    /// costs no memory.
-    texts_that_are_no_pieces_are_refused {
+    /// A text that is not a piece, or that declares a length above the maximum, must be refused with a
+    /// specific error and without allocating that much memory.
+    invalid_pieces_are_refused {
         let packed = pack_piece(&piece(vec![member(1)])).unwrap();
         assert_eq!(unpack_piece("*"), Err(PieceError::NotBase64));
         assert_eq!(unpack_piece(""), Err(PieceError::NotCompressed));
