--- a/crates/ctl/src/apply.rs
+++ b/crates/ctl/src/apply.rs
@@ -1,17 +1,17 @@
-//! `contract apply`: one change, sent until its outcome is known.
+//! The `contract apply` command, which resends a contract change until its outcome is known.
 //!
-//! A change carries an id, and the agreed log answers a change it knows with the first answer
-//! again. So the change may be sent to one daemon after the other without being applied twice.
+//! A change carries an id, and the control VMs reply to a known id with the outcome of its first
+//! application. So the change can be resent to other daemons without being applied twice.
 
 use crate::commands::describe_contract;
-use crate::commands::read_fault;
+use crate::commands::to_read_fault;
 use crate::commands::to_value;
 use crate::options::AddressList;
 use crate::options::ApplyCommand;
 use crate::outcome::CommandOutcome;
 use crate::remote::CallFault;
 use crate::remote::open_client;
-use crate::remote::open_first;
+use crate::remote::open_first_available;
 use ragwort_rpc::OperatorApiClient;
 use ragwort_types::CatalogOutcome;
 use ragwort_types::ChangeId;
@@ -31,16 +31,15 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-/// How often all daemons are tried while the control VMs have no leader.
-///
-/// With the pause between two rounds this outlasts an election several times over.
-const ROUNDS: usize = 20;
+/// The number of rounds in which each daemon is tried once. Together with the pauses between rounds
+/// they take several times as long as an election.
+const MAX_ROUNDS: usize = 20;
 const ROUND_PAUSE: Duration = Duration::from_millis(250);
 
-/// How often the wait asks whether the change is in force.
-const FORCE_PAUSE: Duration = Duration::from_millis(100);
+/// The interval at which `--wait` polls whether the change is in force.
+const FORCE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Applies a contract.
+/// Applies a contract from a file and, on request, waits until it is in force.
 pub async fn apply_contract(addresses: &AddressList, command: ApplyCommand) -> CommandOutcome {
     let contract = match read_contract(&command.file) {
         Ok(contract) => contract,
@@ -58,14 +57,15 @@
         base_version,
         contract,
     };
-    // Printed before anything is sent: whatever ends this program, the operator can resend.
+    // Printed before the first call, so that the operator can resend the change even if this
+    // process is killed.
     eprintln!("change id {}", change.change_id);
     match send_change(addresses, &change).await {
-        SentChange::Decided(outcome) => {
+        SendOutcome::Decided(outcome) => {
             report_decision(addresses, &command, &change, outcome).await
         }
-        SentChange::NotSent(reason) => CommandOutcome::refused(reason),
-        SentChange::InDoubt(reason) => report_doubt(&change, &reason),
+        SendOutcome::NotSent(reason) => CommandOutcome::refused(reason),
+        SendOutcome::InDoubt(reason) => report_unknown_outcome(&change, &reason),
     }
 }
 
@@ -99,28 +99,28 @@
     addresses: &AddressList,
     customer: &CustomerName,
 ) -> Result<ContractVersion, CallFault> {
-    let client = open_first(addresses).await?;
+    let client = open_first_available(addresses).await?;
     let present = client
         .get_contract(customer.clone())
         .await
-        .map_err(read_fault)?;
+        .map_err(to_read_fault)?;
     Ok(present.map_or(ContractVersion(0), |contract| contract.version))
 }
 
-/// What became of sending a change.
-enum SentChange {
-    /// The log decided on it.
+/// The outcome of sending a change.
+enum SendOutcome {
+    /// The change was committed to the log, with this outcome.
     Decided(CatalogOutcome),
-    /// It was certainly not proposed.
+    /// The change was certainly not proposed.
     NotSent(String),
-    /// It may or may not be committed.
+    /// The change may or may not be committed.
     InDoubt(String),
 }
 
-async fn send_change(addresses: &AddressList, change: &ContractChange) -> SentChange {
+async fn send_change(addresses: &AddressList, change: &ContractChange) -> SendOutcome {
     let mut doubt = None;
     let mut last_reason = String::new();
-    for round in 0..ROUNDS {
+    for round in 0..MAX_ROUNDS {
         if round > 0 {
             sleep(ROUND_PAUSE).await;
         }
@@ -133,12 +133,14 @@
                 Err(fault) => Err(fault),
             };
             match reply {
-                Ok(CommandReply::Committed(outcome)) => return SentChange::Decided(outcome),
+                Ok(CommandReply::Committed(outcome)) => return SendOutcome::Decided(outcome),
                 Ok(CommandReply::NoLeader) => {
                     last_reason = format!("{address}: control has no leader");
                 }
                 Ok(CommandReply::Unknown) => {
-                    doubt = Some(format!("{address}: control lost track of the change"));
+                    doubt = Some(format!(
+                        "{address}: control does not know whether the change was committed"
+                    ));
                 }
                 Err(CallFault::InDoubt(reason)) => doubt = Some(format!("{address}: {reason}")),
                 Err(CallFault::NotSent(reason)) => last_reason = reason,
@@ -147,12 +149,12 @@
         }
     }
     match doubt {
-        Some(reason) => SentChange::InDoubt(reason),
-        None => SentChange::NotSent(last_reason),
+        Some(reason) => SendOutcome::InDoubt(reason),
+        None => SendOutcome::NotSent(last_reason),
     }
 }
 
-fn report_doubt(change: &ContractChange, reason: &str) -> CommandOutcome {
+fn report_unknown_outcome(change: &ContractChange, reason: &str) -> CommandOutcome {
     let id = change.change_id;
     let base = change.base_version;
     let text = format!(
@@ -172,10 +174,10 @@
     let value = json!({ "outcome": to_value(&outcome), "change_id": change.change_id });
     match outcome {
         CatalogOutcome::ContractAccepted(acceptance) => {
-            report_force(addresses, command, change, acceptance).await
+            report_acceptance(addresses, command, change, acceptance).await
         }
         CatalogOutcome::ContractConflict(winner) => CommandOutcome::refused(format!(
-            "conflict: another change won; the contract is now\n{}",
+            "conflict: another change was committed first; the contract is now\n{}",
             describe_contract(&winner)
         ))
         .with_value(value),
@@ -188,20 +190,20 @@
             CommandOutcome::refused(faults.join("\n")).with_value(value)
         }
         CatalogOutcome::ChangeIdReused => {
-            CommandOutcome::refused("change id was used before for another content")
+            CommandOutcome::refused("change id was already used for a different change")
                 .with_value(value)
         }
         CatalogOutcome::Done(_)
         | CatalogOutcome::Stale
         | CatalogOutcome::DocumentAccepted(_)
         | CatalogOutcome::DocumentInvalid(_) => {
-            CommandOutcome::refused("control answered another command").with_value(value)
+            CommandOutcome::refused("unexpected reply to a contract change").with_value(value)
         }
     }
 }
 
 /// Reports an accepted change, and whether it is in force.
-async fn report_force(
+async fn report_acceptance(
     addresses: &AddressList,
     command: &ApplyCommand,
     change: &ContractChange,
@@ -211,17 +213,17 @@
         "accepted: customer={} version={} revision={} change={}",
         change.contract.customer, acceptance.version, acceptance.revision, change.change_id
     );
-    let patience = match command.wait {
+    let wait_limit = match command.wait {
         true => Duration::from_millis(command.wait_ms),
         false => Duration::ZERO,
     };
-    let status = wait_in_force(addresses, acceptance, patience).await;
+    let status = wait_until_in_force(addresses, acceptance, wait_limit).await;
     let in_force = status.is_some_and(|status| status.in_force);
     let waiting_for = status.map(|status| status.waiting_for);
     let force = match (in_force, waiting_for) {
         (true, _) => "in force: on every member".to_owned(),
         (false, Some(count)) => format!("in force: not yet, waiting for {count} members"),
-        (false, None) => "in force: not known, no daemon answered".to_owned(),
+        (false, None) => "in force: unknown, no daemon replied".to_owned(),
     };
     let value = json!({
         "accepted": acceptance,
@@ -241,24 +243,27 @@
     CommandOutcome::done(format!("{accepted}\n{force}"), value)
 }
 
-/// Asks until the change is in force or patience ends; returns the last answer.
-async fn wait_in_force(
+/// Polls until the change is in force or `wait_limit` has passed; returns the last status.
+async fn wait_until_in_force(
     addresses: &AddressList,
     acceptance: ContractAcceptance,
-    patience: Duration,
+    wait_limit: Duration,
 ) -> Option<ForceStatus> {
-    let end = Instant::now() + patience;
+    let end = Instant::now() + wait_limit;
     loop {
-        let status = ask_force(addresses, acceptance).await;
+        let status = fetch_force_status(addresses, acceptance).await;
         let in_force = status.is_some_and(|status| status.in_force);
         if in_force || Instant::now() >= end {
             return status;
         }
-        sleep(FORCE_PAUSE).await;
+        sleep(FORCE_POLL_INTERVAL).await;
     }
 }
 
-async fn ask_force(addresses: &AddressList, acceptance: ContractAcceptance) -> Option<ForceStatus> {
+async fn fetch_force_status(
+    addresses: &AddressList,
+    acceptance: ContractAcceptance,
+) -> Option<ForceStatus> {
     for address in &addresses.0 {
         let Ok(client) = open_client(*address).await else {
             continue;
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands other than `contract apply`.
+//! Dispatch of the subcommands, and the short ones among them.
 
 use crate::apply::apply_contract;
 use crate::document::apply_document;
@@ -10,7 +10,7 @@
 use crate::options::OperatorCommand;
 use crate::outcome::CommandOutcome;
 use crate::remote::CallFault;
-use crate::remote::open_first;
+use crate::remote::open_first_available;
 use ragwort_rpc::OperatorApiClient;
 use ragwort_types::CustomerName;
 use ragwort_types::FormReply;
@@ -21,7 +21,7 @@
 use serde_json::json;
 use std::fmt::Write;
 
-/// Runs a command to its outcome.
+/// Runs a command and returns its outcome.
 pub async fn run_command(options: CommandOptions) -> CommandOutcome {
     let addresses = &options.address;
     let outcome = match options.command {
@@ -45,9 +45,10 @@
     })
 }
 
-/// Forms the system through one daemon only: two daemons that both form might choose differently.
+/// Forms the first voter set. Only one daemon is called, because two daemons could form different
+/// voter sets.
 async fn form(addresses: &AddressList) -> Result<CommandOutcome, CallFault> {
-    let client = open_first(addresses).await?;
+    let client = open_first_available(addresses).await?;
     let reply = client.form().await?;
     let value = to_value(&reply);
     Ok(match reply {
@@ -61,13 +62,14 @@
     })
 }
 
-/// Drains one VM. With a list of addresses it would be chance which VM is drained.
+/// Drains one VM. It takes exactly one address: with several, the drained VM would be the first
+/// one that happens to be reachable.
 async fn drain(addresses: &AddressList) -> Result<CommandOutcome, CallFault> {
     if addresses.0.len() != 1 {
         let reason = "drain: expected exactly one address, that of the VM to drain";
         return Ok(CommandOutcome::usage(reason));
     }
-    let client = open_first(addresses).await?;
+    let client = open_first_available(addresses).await?;
     client.drain().await?;
     Ok(CommandOutcome::done(
         "draining; the daemon exits when everything in flight has ended",
@@ -76,8 +78,8 @@
 }
 
 async fn status(addresses: &AddressList) -> Result<CommandOutcome, CallFault> {
-    let client = open_first(addresses).await?;
-    let status = client.status().await.map_err(read_fault)?;
+    let client = open_first_available(addresses).await?;
+    let status = client.status().await.map_err(to_read_fault)?;
     Ok(CommandOutcome::done(
         describe_status(&status),
         to_value(&status),
@@ -85,8 +87,8 @@
 }
 
 async fn dump(addresses: &AddressList) -> Result<CommandOutcome, CallFault> {
-    let client = open_first(addresses).await?;
-    let dump = client.dump().await.map_err(read_fault)?;
+    let client = open_first_available(addresses).await?;
+    let dump = client.dump().await.map_err(to_read_fault)?;
     let value = serde_json::from_str(&dump).unwrap_or_else(|_| json!(dump));
     Ok(CommandOutcome::done(dump, value))
 }
@@ -95,11 +97,11 @@
     addresses: &AddressList,
     customer: &str,
 ) -> Result<CommandOutcome, CallFault> {
-    let client = open_first(addresses).await?;
+    let client = open_first_available(addresses).await?;
     let contract = client
         .get_contract(CustomerName::from(customer))
         .await
-        .map_err(read_fault)?;
+        .map_err(to_read_fault)?;
     Ok(match contract {
         Some(contract) => CommandOutcome::done(describe_contract(&contract), to_value(&contract)),
         None => CommandOutcome::refused(format!("customer {customer} has no contract")),
@@ -107,8 +109,8 @@
 }
 
 async fn list_contracts(addresses: &AddressList) -> Result<CommandOutcome, CallFault> {
-    let client = open_first(addresses).await?;
-    let contracts = client.list_contracts().await.map_err(read_fault)?;
+    let client = open_first_available(addresses).await?;
+    let contracts = client.list_contracts().await.map_err(to_read_fault)?;
     let lines: Vec<String> = contracts
         .iter()
         .map(|contract| {
@@ -121,12 +123,14 @@
     Ok(CommandOutcome::done(lines.join("\n"), to_value(&contracts)))
 }
 
-/// Returns the fault of a call that changes nothing: without an answer it is simply not done.
-pub fn read_fault(error: jsonrpsee::core::ClientError) -> CallFault {
+/// Converts the error of a read-only call. Even a call without a reply counts as refused, because it
+/// changes nothing.
+pub fn to_read_fault(error: jsonrpsee::core::ClientError) -> CallFault {
     CallFault::Refused(error.to_string())
 }
 
-/// Describes a contract: its version and change as comments, then the YAML to edit and apply.
+/// Formats a contract as YAML that can be edited and applied, with its version and change id in
+/// comments.
 pub fn describe_contract(contract: &VersionedContract) -> String {
     let yaml =
         serde_saphyr::to_string(&contract.contract).unwrap_or_else(|error| format!("# {error}"));
@@ -173,7 +177,7 @@
     text
 }
 
-/// Turns a reply into JSON.
+/// Converts a reply to JSON.
 pub fn to_value(reply: &impl Serialize) -> Value {
     serde_json::to_value(reply).unwrap_or_default()
 }
--- a/crates/ctl/src/document.rs
+++ b/crates/ctl/src/document.rs
@@ -1,6 +1,6 @@
-//! `document`: the whole configuration in one step.
+//! The `document` command, which applies or shows the whole configuration.
 //!
-//! The highest version wins, so the same document may be sent to one daemon after the other.
+//! The document with the highest version wins, so a document may safely be resent to another daemon.
 
 use crate::commands::to_value;
 use crate::options::AddressList;
@@ -19,7 +19,7 @@
 use std::fs;
 use std::path::Path;
 
-/// A document's file.
+/// The content of a document file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct DocumentFile {
@@ -30,7 +30,7 @@
     accounts: Vec<ClientAccount>,
 }
 
-/// Applies a whole configuration.
+/// Applies a configuration document, trying the daemons in turn.
 pub async fn apply_document(addresses: &AddressList, path: &Path) -> CommandOutcome {
     let document = match read_document(path) {
         Ok(document) => document,
@@ -44,7 +44,7 @@
         };
         match sent.map_err(CallFault::from) {
             Ok(DocumentReply::Unknown) => {
-                doubt = Some("no control leader has answered".to_owned());
+                doubt = Some("no control leader replied".to_owned());
             }
             Ok(reply) => return report_reply(&document, &reply),
             Err(fault) => doubt = Some(fault.to_string()),
@@ -52,7 +52,7 @@
     }
     match doubt {
         Some(reason) => CommandOutcome::unknown(format!("{reason}; send the same document again")),
-        None => CommandOutcome::refused("no daemon takes a connection"),
+        None => CommandOutcome::refused("no daemon accepts connections"),
     }
 }
 
@@ -75,7 +75,7 @@
 
 fn read_document(path: &Path) -> Result<ContractDocument, String> {
     let text = fs::read_to_string(path).map_err(|error| error.to_string())?;
-    // The lines around the fault may have keys.
+    // The snippet in the error message could contain account keys.
     let file: DocumentFile =
         serde_saphyr::from_str(&text).map_err(|error| error.without_snippet().to_string())?;
     let document = ContractDocument {
@@ -97,7 +97,7 @@
     }
 }
 
-/// Shows the configuration that a majority of the control VMs confirms to be the newest.
+/// Shows the newest configuration, as confirmed by a majority of the control VMs.
 pub async fn show_document(addresses: &AddressList) -> CommandOutcome {
     for address in &addresses.0 {
         let Ok(client) = open_client(*address).await else {
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -8,7 +8,7 @@
 //! | --- | --- |
 //! | 0 | done |
 //! | 1 | refused; nothing was changed |
-//! | 2 | the command line can't be understood |
+//! | 2 | the command line is invalid |
 //! | 3 | the outcome is unknown; the change id to resend with is printed |
 
 mod apply;
--- a/crates/ctl/src/options.rs
+++ b/crates/ctl/src/options.rs
@@ -1,4 +1,4 @@
-//! The command line's options.
+//! Command-line options and subcommands.
 
 use argh::FromArgs;
 use ragwort_types::ChangeId;
@@ -28,7 +28,7 @@
     pub command: OperatorCommand,
 }
 
-/// The daemons to ask.
+/// The peer addresses of the daemons to call, in order of preference.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AddressList(pub Vec<SocketAddr>);
 
@@ -54,19 +54,19 @@
     }
 }
 
-/// What to do.
+/// The subcommands.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum OperatorCommand {
-    /// Forms the system.
+    /// Forms the first voter set.
     Form(FormCommand),
-    /// Works on contracts.
+    /// Applies or shows contracts.
     Contract(ContractCommand),
-    /// Works on the whole configuration.
+    /// Applies or shows the whole configuration.
     Document(DocumentCommand),
-    /// Shows the system.
+    /// Shows a daemon's status and its view of the system.
     Status(StatusCommand),
-    /// Shows one process.
+    /// Shows the full state of one process.
     Dump(DumpCommand),
     /// Drains one VM.
     Drain(DrainCommand),
@@ -101,15 +101,15 @@
     pub action: ContractAction,
 }
 
-/// What to do with contracts.
+/// The actions on contracts.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum ContractAction {
-    /// Applies one.
+    /// Applies a contract.
     Apply(ApplyCommand),
-    /// Shows one.
+    /// Shows a contract.
     Get(GetCommand),
-    /// Shows all.
+    /// Shows all contracts.
     List(ListCommand),
 }
 
@@ -122,13 +122,13 @@
     pub action: DocumentAction,
 }
 
-/// What to do with the whole configuration.
+/// The actions on the whole configuration.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum DocumentAction {
-    /// Applies one.
+    /// Applies a document.
     Apply(ApplyDocumentCommand),
-    /// Shows the newest.
+    /// Shows the newest document.
     Get(GetDocumentCommand),
 }
 
--- a/crates/ctl/src/outcome.rs
+++ b/crates/ctl/src/outcome.rs
@@ -1,19 +1,19 @@
-//! What a command comes to: lines for people, JSON for programs, an exit code for both.
+//! Outcomes of commands, with their text output, JSON output and exit codes.
 
 use serde_json::Value;
 use serde_json::json;
 use std::process::ExitCode;
 
-/// How a command ended.
+/// The class of an outcome, which decides the exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutcomeClass {
-    /// It is done.
+    /// The command is done.
     Done,
-    /// It was refused; nothing was changed.
+    /// The command was refused; nothing was changed.
     Refused,
-    /// The command line can't be understood.
+    /// The command line is invalid.
     Usage,
-    /// It may or may not be done.
+    /// The command may or may not be done.
     Unknown,
 }
 
@@ -31,14 +31,14 @@
         Self::new(OutcomeClass::Done, text, value)
     }
 
-    /// Returns the outcome of a command that was refused for a reason in words.
+    /// Returns the outcome of a command that was refused for the given reason.
     pub fn refused(reason: impl Into<String>) -> Self {
         let reason = reason.into();
         let value = json!({ "refused": reason });
         Self::new(OutcomeClass::Refused, reason, value)
     }
 
-    /// Returns the outcome of a command line that can't be understood.
+    /// Returns the outcome of an invalid command line.
     pub fn usage(reason: impl Into<String>) -> Self {
         let reason = reason.into();
         let value = json!({ "usage": reason });
@@ -52,7 +52,7 @@
         Self::new(OutcomeClass::Unknown, reason, value)
     }
 
-    /// Replaces what programs read.
+    /// Replaces the JSON output.
     pub fn with_value(mut self, value: Value) -> Self {
         self.value = value;
         self
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Prints the outcome: what was done or asked for to standard output, the rest to standard
-    /// error; JSON always to standard output.
+    /// Prints the outcome. Text goes to standard output if the command is done, and to standard
+    /// error otherwise; JSON always goes to standard output.
     pub fn print(&self, json: bool) {
         if json {
             println!("{}", self.value);
--- a/crates/ctl/src/remote.rs
+++ b/crates/ctl/src/remote.rs
@@ -1,4 +1,4 @@
-//! Calls to daemons, and what is known of a call that failed.
+//! Connections to daemons, and the classification of failed calls by whether they had an effect.
 
 use crate::options::AddressList;
 use jsonrpsee::core::ClientError;
@@ -11,18 +11,19 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long a daemon may take to accept a connection.
+/// The time within which a daemon must accept a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a daemon may take to answer; it answers with an unknown outcome well before that.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
+/// The time within which a daemon must reply. A daemon that does not know the outcome says so well
+/// before that.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Why a call has no answer.
+/// The reason for which a call has no reply.
 #[derive(Debug)]
 pub enum CallFault {
-    /// No connection: the call was not sent.
+    /// No connection could be opened, so the call was not sent.
     NotSent(String),
-    /// The daemon refused the call as such: it did nothing.
+    /// The daemon rejected the method or its parameters and did nothing.
     Refused(String),
     /// The call was sent and its outcome is unknown.
     InDoubt(String),
@@ -51,32 +52,32 @@
     }
 }
 
-/// Opens a client for a daemon that takes connections now.
+/// Creates a client for a daemon, after a check that the daemon accepts connections.
 ///
-/// The connection tried here is closed again; it tells a daemon that is down from one that was lost
-/// with the call in its hands.
+/// The check opens a connection and closes it again. It distinguishes a daemon that is down, where
+/// the call has no effect, from one that is lost during the call.
 ///
 /// # Errors
 ///
-/// Returns [`CallFault::NotSent`] when the daemon takes no connection.
+/// Returns [`CallFault::NotSent`] if the daemon does not accept a connection.
 pub async fn open_client(address: SocketAddr) -> Result<HttpClient, CallFault> {
     let not_sent = |reason: String| CallFault::NotSent(format!("{address}: {reason}"));
     timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
-        .map_err(|_| not_sent("no connection in time".to_owned()))?
+        .map_err(|_| not_sent("connection timed out".to_owned()))?
         .map_err(|error| not_sent(error.to_string()))?;
     HttpClient::builder()
-        .request_timeout(ANSWER_TIMEOUT)
+        .request_timeout(REPLY_TIMEOUT)
         .build(format!("http://{address}"))
         .map_err(|error| not_sent(error.to_string()))
 }
 
-/// Opens a client for the first daemon that takes connections now.
+/// Creates a client for the first daemon that accepts connections.
 ///
 /// # Errors
 ///
-/// Returns [`CallFault::NotSent`] with each daemon's reason when none does.
-pub async fn open_first(addresses: &AddressList) -> Result<HttpClient, CallFault> {
+/// Returns [`CallFault::NotSent`], with the reason for each daemon, if none does.
+pub async fn open_first_available(addresses: &AddressList) -> Result<HttpClient, CallFault> {
     let mut reasons = Vec::new();
     for address in &addresses.0 {
         match open_client(*address).await {
--- a/crates/ctl/tests/commands.rs
+++ b/crates/ctl/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The command line against a daemon that answers as told: exit codes and output.
+//! Tests of the command line's exit codes and output, against a daemon with scripted replies.
 
 use jsonrpsee::core::RpcResult;
 use jsonrpsee::core::async_trait;
@@ -69,21 +69,21 @@
 }
 
 #[derive(Clone)]
-enum ApplyAnswer {
+enum ScriptedReply {
     Reply(CommandReply),
-    Broken,
+    Error,
 }
 
 #[derive(Default)]
 struct Script {
-    applies: VecDeque<ApplyAnswer>,
+    applies: VecDeque<ScriptedReply>,
     changes: Vec<ContractChange>,
     documents: Vec<ContractDocument>,
     document_replies: VecDeque<DocumentReply>,
     reading: Option<DocumentReading>,
     present: Option<VersionedContract>,
-    asked_in_force: u32,
-    in_force_after: u32,
+    force_status_calls: u32,
+    calls_before_in_force: u32,
     form: Option<FormReply>,
     drained: bool,
 }
@@ -96,12 +96,12 @@
         change(&mut self.0.lock().unwrap());
     }
 
-    fn answer(&self, answer: ApplyAnswer) {
+    fn answer(&self, answer: ScriptedReply) {
         self.set(|script| script.applies.push_back(answer));
     }
 
     fn decide(&self, outcome: CatalogOutcome) {
-        self.answer(ApplyAnswer::Reply(CommandReply::Committed(outcome)));
+        self.answer(ScriptedReply::Reply(CommandReply::Committed(outcome)));
     }
 
     fn changes(&self) -> Vec<ContractChange> {
@@ -115,7 +115,7 @@
         let mut script = self.0.lock().unwrap();
         script.changes.push(change);
         match script.applies.pop_front() {
-            Some(ApplyAnswer::Reply(reply)) => Ok(reply),
+            Some(ScriptedReply::Reply(reply)) => Ok(reply),
             _ => Err(ErrorObjectOwned::owned(-32_000, "lost", None::<()>)),
         }
     }
@@ -136,8 +136,8 @@
 
     async fn force_status(&self, acceptance: ContractAcceptance) -> RpcResult<ForceStatus> {
         let mut script = self.0.lock().unwrap();
-        script.asked_in_force += 1;
-        let in_force = script.asked_in_force > script.in_force_after;
+        script.force_status_calls += 1;
+        let in_force = script.force_status_calls > script.calls_before_in_force;
         Ok(ForceStatus {
             acceptance,
             in_force,
@@ -185,7 +185,7 @@
     (address, server.start(daemon.clone().into_rpc()))
 }
 
-/// What a run of the command line came to.
+/// The exit code and output of a run of the command line.
 struct Run {
     code: i32,
     out: String,
@@ -229,7 +229,7 @@
 }
 
 #[tokio::test]
-async fn apply_builds_on_the_present_version() {
+async fn apply_builds_on_the_current_version() {
     let daemon = FakeDaemon::default();
     let (address, _server) = serve(&daemon).await;
     daemon.set(|script| script.present = Some(versioned(4)));
@@ -249,10 +249,10 @@
 }
 
 #[tokio::test]
-async fn apply_without_wait_says_that_it_is_not_in_force_yet() {
+async fn apply_without_wait_reports_that_it_is_not_in_force_yet() {
     let daemon = FakeDaemon::default();
     let (address, _server) = serve(&daemon).await;
-    daemon.set(|script| script.in_force_after = u32::MAX);
+    daemon.set(|script| script.calls_before_in_force = u32::MAX);
     daemon.decide(CatalogOutcome::ContractAccepted(acceptance()));
     let file = ContractFile::new(CONTRACT);
     let arguments = [
@@ -275,7 +275,7 @@
 async fn wait_returns_when_the_change_is_in_force() {
     let daemon = FakeDaemon::default();
     let (address, _server) = serve(&daemon).await;
-    daemon.set(|script| script.in_force_after = 3);
+    daemon.set(|script| script.calls_before_in_force = 3);
     daemon.decide(CatalogOutcome::ContractAccepted(acceptance()));
     let file = ContractFile::new(CONTRACT);
     let run = run(
@@ -285,16 +285,16 @@
     .await;
     assert_eq!(run.code, 0, "{}", run.err);
     assert!(run.out.contains("in force: on every member"));
-    assert_eq!(daemon.0.lock().unwrap().asked_in_force, 4);
+    assert_eq!(daemon.0.lock().unwrap().force_status_calls, 4);
 }
 
-/// A member can't confirm the change. The operator must not take an accepted change for one that
-/// holds everywhere.
+/// A member does not confirm the change in time. The operator must not mistake an accepted change for
+/// one that is in force on every member.
 #[tokio::test]
-async fn wait_that_ends_too_early_is_not_done() {
+async fn wait_timeout_is_an_unknown_outcome() {
     let daemon = FakeDaemon::default();
     let (address, _server) = serve(&daemon).await;
-    daemon.set(|script| script.in_force_after = u32::MAX);
+    daemon.set(|script| script.calls_before_in_force = u32::MAX);
     daemon.decide(CatalogOutcome::ContractAccepted(acceptance()));
     let file = ContractFile::new(CONTRACT);
     let arguments = ["contract", "apply", "--wait", "--wait-ms", "1", file.path()];
@@ -307,9 +307,10 @@
     );
 }
 
-/// Two operators change a contract at once. The one that lost sees what won.
+/// Two operators change a contract concurrently. The one whose change is refused must see the
+/// committed contract.
 #[tokio::test]
-async fn conflict_shows_the_winner() {
+async fn conflict_shows_the_committed_contract() {
     let daemon = FakeDaemon::default();
     let (address, _server) = serve(&daemon).await;
     daemon.decide(CatalogOutcome::ContractConflict(Box::new(versioned(6))));
@@ -320,15 +321,15 @@
     assert!(run.err.contains("customer: omuti"), "{}", run.err);
 }
 
-/// The answer to a change is lost. The tool resends it under the same id, and the answer that comes
-/// then is that of the first attempt.
+/// The reply to a change is lost. The tool must resend the change under the same id, because the
+/// control VMs recognize a resend by its id.
 #[tokio::test]
-async fn lost_answer_is_asked_for_again_under_the_same_id() {
+async fn lost_reply_is_retried_with_the_same_change_id() {
     let daemon = FakeDaemon::default();
     let (address, _server) = serve(&daemon).await;
-    daemon.answer(ApplyAnswer::Broken);
-    daemon.answer(ApplyAnswer::Reply(CommandReply::Unknown));
-    daemon.answer(ApplyAnswer::Reply(CommandReply::NoLeader));
+    daemon.answer(ScriptedReply::Error);
+    daemon.answer(ScriptedReply::Reply(CommandReply::Unknown));
+    daemon.answer(ScriptedReply::Reply(CommandReply::NoLeader));
     daemon.decide(CatalogOutcome::ContractAccepted(acceptance()));
     let file = ContractFile::new(CONTRACT);
     let run = run(&address.to_string(), &["contract", "apply", file.path()]).await;
@@ -338,7 +339,7 @@
     assert!(changes.iter().all(|change| change == &changes[0]));
 }
 
-/// No answer ever comes. The operator reads which id to resend with.
+/// No reply ever arrives. The output must contain the change id to resend with.
 #[tokio::test]
 async fn unknown_outcome_names_the_change_id() {
     let daemon = FakeDaemon::default();
@@ -361,7 +362,7 @@
     assert_eq!(daemon.changes()[0].change_id.to_string(), id);
 }
 
-/// The first daemon of the list is down.
+/// The first daemon in the list is down, so the next one must be called.
 #[tokio::test]
 async fn next_address_is_tried() {
     let daemon = FakeDaemon::default();
@@ -372,7 +373,7 @@
 }
 
 #[tokio::test]
-async fn no_daemon_at_all_is_refused_and_not_unknown() {
+async fn unreachable_daemon_is_refused_and_not_unknown() {
     let run = run("127.0.0.1:1", &["form"]).await;
     assert_eq!(run.code, 1);
     assert!(run.err.contains("not sent: 127.0.0.1:1"), "{}", run.err);
@@ -393,7 +394,7 @@
     assert!(daemon.changes().is_empty());
 }
 
-/// Names an outcome that refuses a change, and words of the report.
+/// Defines a test for each outcome that refuses a change: the outcome and a part of the error text.
 macro_rules! refused {
     ($($name:ident: $outcome:expr => $words:expr;)*) => {$(
         #[tokio::test]
@@ -411,12 +412,12 @@
 
 refused! {
     unknown_contract: CatalogOutcome::ContractUnknown => "has no contract of version 0";
-    reused_change_id: CatalogOutcome::ChangeIdReused => "used before for another content";
-    contract_that_control_finds_faulty:
+    reused_change_id: CatalogOutcome::ChangeIdReused => "already used for a different change";
+    contract_rejected_by_control:
         CatalogOutcome::ContractFaulty(vec!["groups: unknown".to_owned()]) => "groups: unknown";
 }
 
-/// Names a reply to `form`, the exit code and words of the report.
+/// Defines a test for each reply to `form`: the reply, the exit code and a part of the output.
 macro_rules! formed {
     ($($name:ident: $reply:expr => $code:expr, $words:expr;)*) => {$(
         #[tokio::test]
@@ -450,7 +451,7 @@
 }
 
 #[tokio::test]
-async fn contract_that_is_shown_can_be_applied_again() {
+async fn shown_contract_can_be_applied() {
     let daemon = FakeDaemon::default();
     let (address, _server) = serve(&daemon).await;
     let missing = run(&address.to_string(), &["contract", "get", "omuti"]).await;
@@ -473,7 +474,7 @@
     assert_eq!(value["vm"], "vm-1");
 }
 
-/// Names a command line that can't be understood.
+/// Defines a test for each invalid command line.
 macro_rules! usage {
     ($($name:ident: $arguments:expr;)*) => {$(
         #[tokio::test]
@@ -492,7 +493,7 @@
 }
 
 #[tokio::test]
-async fn host_name_is_no_address() {
+async fn host_name_is_refused() {
     let run = run("localhost:7432", &["status"]).await;
     assert_eq!(run.code, 2);
     assert!(run.err.contains("expected IP:PORT"), "{}", run.err);
@@ -506,7 +507,7 @@
 }
 
 #[tokio::test]
-async fn help_is_no_fault() {
+async fn help_exits_successfully() {
     let run = run("127.0.0.1:1", &["--help"]).await;
     assert_eq!(run.code, 0);
     assert!(run.out.contains("Exit codes"));
@@ -528,7 +529,7 @@
     })
 }
 
-/// Runs `document apply` against a daemon that replies so.
+/// Runs `document apply` against a daemon with this reply; `None` stands for a failed call.
 async fn apply_document(text: &str, reply: Option<DocumentReply>) -> (Run, FakeDaemon) {
     let daemon = FakeDaemon::default();
     let (address, _server) = serve(&daemon).await;
@@ -550,19 +551,19 @@
     assert_eq!(&*documents[0].source, text);
 }
 
-/// Two operators race; the other one's version is higher. The command must not claim that this one
-/// is in force.
+/// A document with a higher version is already in force. The command must not report that this one
+/// is.
 #[tokio::test]
-async fn overtaken_document_says_so() {
+async fn overtaken_document_is_reported() {
     let (run, _) = apply_document(&document_text(7), Some(accepted(9))).await;
     assert_eq!(run.code, 0, "{}", run.err);
     assert!(run.out.contains("overtaken: version 9 is in force"));
 }
 
-/// The daemon's answer is lost. The document may be in force, so the operator is told to send it
-/// again and not that it was refused.
+/// The daemon's reply is lost. The document may be in force, so the operator must be told to resend
+/// it, not that it was refused.
 #[tokio::test]
-async fn document_without_an_answer_is_in_doubt() {
+async fn document_without_a_reply_has_an_unknown_outcome() {
     let (run, _) = apply_document(&document_text(7), None).await;
     assert_eq!(run.code, 3, "{}", run.err);
     assert!(run.err.contains("send the same document again"));
@@ -581,8 +582,8 @@
     assert!(daemon.0.lock().unwrap().documents.is_empty());
 }
 
-/// A document with a fault elsewhere is refused. What is said of the place must not quote the lines around
-/// it, which may have keys: it is often kept in a log.
+/// A document is refused for a fault near its keys. The error message, which is often logged, must
+/// not quote the surrounding lines.
 #[tokio::test]
 async fn refused_document_shows_no_key() {
     let accounts = "accounts:\n- name: directorate\n  keys: [k-5b1f0c]\n  limit: many\n";
