--- a/crates/daemon/src/catalog_fetch.rs
+++ b/crates/daemon/src/catalog_fetch.rs
@@ -1,7 +1,7 @@
-//! Fetches the catalog from control VMs, piece by piece, beside the heartbeats.
+//! Fetches the catalog from control VMs piece by piece, concurrently with the heartbeats.
 //!
-//! The member's task says which revision it needs. What has arrived is kept when a control VM falls
-//! silent: the next one goes on from there.
+//! The member task asks for a revision. If a control VM stops answering, the pieces received so far
+//! are kept and the transfer continues at the next one.
 
 use crate::clock::NodeClock;
 use crate::directory::ControlDirectory;
@@ -27,14 +27,15 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// How long one piece may take: 20 times what it takes through a link of 2 Mbit/s, as callers' traffic
-/// and other pieces share the way.
-const PIECE_LIMIT: Duration = Duration::from_secs(2);
+/// Time limit for one piece: 20 times its transfer time over a link of 2 Mbit/s, as callers'
+/// traffic and other pieces share the link.
+const PIECE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The pause before another control VM is asked, or one that is behind is asked again.
-const ASK_PAUSE: Duration = Duration::from_millis(50);
+/// The pause before the next control VM is asked after a failure, or because the last one was
+/// behind.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// What the fetching task works with.
+/// The dependencies of the fetch task.
 pub(crate) struct FetchContext {
     /// The process's clock.
     pub(crate) clock: NodeClock,
@@ -42,13 +43,13 @@
     pub(crate) links: PeerLinks,
     /// Where the control VMs are.
     pub(crate) directory: ControlDirectory,
-    /// The copy from which a transfer begins.
+    /// Holds the catalog copy from which a transfer begins.
     pub(crate) view: watch::Receiver<MemberView>,
-    /// What this VM needs of the catalog.
+    /// The part of the catalog that this VM needs.
     pub(crate) scope: CatalogScope,
 }
 
-/// The member's side of the fetching task.
+/// The member task's handle to the fetch task.
 pub(crate) struct CatalogFetch {
     needed: watch::Sender<CatalogRevision>,
     copies: mpsc::Receiver<CatalogCopy>,
@@ -77,11 +78,12 @@
         });
     }
 
-    /// Waits for a whole copy. It may be given up and called again.
+    /// Waits for a complete copy. The future may be dropped and the method called again without
+    /// losing a copy.
     pub(crate) async fn next_copy(&mut self) -> CatalogCopy {
         match self.copies.recv().await {
             Some(copy) => copy,
-            // The task ends only after this side has.
+            // The fetch task ends only after this handle.
             None => std::future::pending().await,
         }
     }
@@ -89,7 +91,7 @@
     /// Ends the task and joins it.
     pub(crate) async fn stop(self) {
         self.task.abort();
-        // It ends as cancelled.
+        // The abort shows as a cancellation error.
         let _ = self.task.await;
     }
 }
@@ -116,7 +118,7 @@
     async fn fetch(&self, held: &CatalogCopy, needed: CatalogRevision) -> CatalogCopy {
         let started = self.clock.now();
         let mut transfer = CatalogTransfer::begin(held, self.scope, needed);
-        let mut turn = 0;
+        let mut address_index = 0;
         let (mut pieces, mut bytes) = (0, 0);
         log_event!(
             Level::Info,
@@ -126,12 +128,14 @@
         );
         loop {
             let addresses = self.directory.addresses();
-            let address = addresses.get(turn % addresses.len().max(1)).copied();
-            let asked = match address {
-                Some(address) => self.ask(address, transfer.to_request()).await,
+            let address = addresses
+                .get(address_index % addresses.len().max(1))
+                .copied();
+            let fetched = match address {
+                Some(address) => self.fetch_piece(address, transfer.to_request()).await,
                 None => Err("no control VM is known".to_owned()),
             };
-            let step = match asked {
+            let step = match fetched {
                 Ok((piece, length)) => {
                     pieces += 1;
                     bytes += length;
@@ -152,8 +156,8 @@
             match step {
                 TransferStep::Ongoing => {}
                 TransferStep::Behind => {
-                    turn += 1;
-                    sleep(ASK_PAUSE).await;
+                    address_index += 1;
+                    sleep(RETRY_PAUSE).await;
                 }
                 TransferStep::Done(copy) => {
                     log_event!(
@@ -170,13 +174,13 @@
         }
     }
 
-    async fn ask(
+    async fn fetch_piece(
         &self,
         address: SocketAddr,
         request: PieceRequest,
     ) -> Result<(CatalogPiece, usize), String> {
         let call = |client: Arc<WsClient>| async move { client.read_catalog(request).await };
-        let packed = self.links.call(address, PIECE_LIMIT, call).await;
+        let packed = self.links.call(address, PIECE_TIMEOUT, call).await;
         let packed = packed.map_err(|error| error.to_string())?;
         let piece = unpack_piece(&packed).map_err(|error| error.to_string())?;
         Ok((piece, packed.len()))
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -5,10 +5,10 @@
 use rustix::time::clock_gettime;
 use std::time::Duration;
 
-/// Reads the time since the process started, by the system's boot-time clock. Clones share the
+/// Reads the time since the process started from the system's boot-time clock. Clones share the
 /// origin.
 ///
-/// The clock goes on while the process is stopped by a signal and also while the whole VM is
+/// The clock keeps running while the process is stopped by a signal and while the whole VM is
 /// suspended. The usual monotonic clock stands still in a suspended VM: a leaseholder that wakes up
 /// would believe in a lease that ended long ago, and serve reads that lack its successor's writes.
 #[derive(Clone, Copy, Debug)]
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Returns the present moment.
+    /// Returns the current time.
     pub fn now(self) -> ClockTime {
         ClockTime::from(read_boot_time().saturating_sub(self.origin))
     }
--- a/crates/daemon/src/connection.rs
+++ b/crates/daemon/src/connection.rs
@@ -1,8 +1,8 @@
 //! One connection to an endpoint: a task that owns the socket and runs one statement at a time.
 //!
-//! Behind each statement the task pipelines a second one that makes the endpoint echo the
+//! After each statement the task pipelines a second one that makes the endpoint echo the
 //! statement's id together with its log position. The echo proves that the answer belongs to the
-//! statement, and after a commit it is the position that a majority must hold.
+//! statement; after a commit its position is the one that a majority must hold.
 
 use crate::callers::parameters::ColumnText;
 use crate::log_event;
@@ -31,15 +31,15 @@
 use tokio_postgres::SimpleQueryMessage;
 use tokio_postgres::types::Type;
 
-/// Unsent or unacknowledged bytes older than this end the connection, instead of the kernel's
-/// many minutes of retransmission.
+/// How long data may stay unsent or unacknowledged before the connection ends, in place of the
+/// kernel's many minutes of retransmission.
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Identifies a connection within one leaseholder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// Where and how to connect.
+/// The endpoint to connect to, and the time limits of the connection.
 #[derive(Clone, Debug)]
 pub struct ConnectionTarget {
     /// Identifies the connection in its events.
@@ -48,17 +48,17 @@
     pub address: SocketAddr,
     /// The database name, which is the group's.
     pub database: String,
-    /// The instance that must answer there.
+    /// The instance that must answer at the address.
     pub instance: InstanceName,
-    /// The limit for connecting.
+    /// The time limit for connecting.
     pub connect_timeout: Duration,
-    /// How long the connection may be idle before it is pinged.
+    /// The idle time after which the connection is pinged.
     pub idle_ping: Duration,
-    /// How long a ping's answer may take.
+    /// The time limit for the answer to a ping.
     pub ping_timeout: Duration,
 }
 
-/// What the leaseholder asks of a connection.
+/// A command of the leaseholder to a connection.
 #[derive(Debug)]
 pub enum ConnectionOrder {
     /// Runs a statement.
@@ -78,9 +78,9 @@
     pub id: StatementId,
     /// The statement's text.
     pub text: String,
-    /// Its parameters, for the extended protocol.
+    /// Its parameters, sent by the extended protocol; `None` selects the simple protocol.
     pub parameters: Option<Vec<Option<String>>>,
-    /// When the answer must be there.
+    /// The deadline of the answer.
     pub until: Instant,
 }
 
@@ -93,27 +93,27 @@
     pub text: String,
     /// The number of its parameters, which are all sent as text.
     pub parameters: usize,
-    /// How long the answer may take.
+    /// The time limit for the answer.
     pub limit: Duration,
 }
 
-/// What a connection tells the leaseholder.
+/// An event that a connection reports to the leaseholder.
 #[derive(Debug)]
 pub struct ConnectionEvent {
     /// The connection.
     pub id: ConnectionId,
-    /// What happened.
+    /// The change.
     pub change: ConnectionChange,
 }
 
-/// What happened to a connection.
+/// A change of a connection's state.
 #[derive(Debug)]
 pub enum ConnectionChange {
     /// It is open and idle.
     Opened,
     /// A statement ended.
     Finished(StatementId, RunOutcome),
-    /// It has answered the ping that it was ordered to send.
+    /// The endpoint has answered a ping that was ordered.
     Proven,
     /// A description ended.
     Described(StatementId, DescribeOutcome),
@@ -121,10 +121,11 @@
     Closed,
 }
 
-/// How a statement ended on its connection.
+/// The outcome of a statement on its connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// The endpoint answered; the position is where its log stood right after.
+    /// The endpoint answered; the position is that of its log right after the statement, if it
+    /// could be read.
     Answered(StatementAnswer, Option<LogPosition>),
     /// The endpoint said that it did not run the statement.
     Refused(DatabaseError),
@@ -138,18 +139,18 @@
     Mismatch,
 }
 
-/// How a description ended on its connection. The statement itself has not run.
+/// The outcome of describing a statement on its connection. The statement itself has not run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DescribeOutcome {
     /// The endpoint described the statement.
     Shape(StatementShape),
     /// The endpoint reported an error, such as an unknown table.
     Failed(DatabaseError),
-    /// The endpoint said that it takes no work now.
+    /// The endpoint refused because it accepts no work now.
     Refused(DatabaseError),
     /// No byte of the order was sent.
     NotSent,
-    /// The connection was lost or silent, or its answer belonged to something else.
+    /// The connection was lost or silent, or the answer belonged to another statement.
     Lost,
 }
 
@@ -216,16 +217,17 @@
     );
     drop(client);
     driver.abort();
-    // It has been told to end.
+    // The task was aborted.
     let _ = driver.await;
     None
 }
 
 /// Asks which instance answers on a connection.
 ///
-/// An address is given anew, and the database's name only tells groups apart. A read that is sent to
-/// another instance of the group, for the position that the expected one holds, would miss its session's
-/// write. A connection leads to the same process until it ends, so asking once is enough.
+/// An address may be reassigned, and the database name only tells groups apart. A read that was
+/// sent to another instance of the group, because of the position that the expected one holds,
+/// would miss its session's write. A connection leads to the same process until it ends, so one
+/// check per connection is enough.
 async fn ask_instance(client: &Client) -> Option<String> {
     let asking = client.simple_query("show ragwort_position greeting");
     let messages = asking.await.ok()?;
@@ -263,8 +265,9 @@
                 let answered = ping_endpoint(target, client).await;
                 (answered.then_some(ConnectionChange::Proven), answered)
             }
-            // Something between the two ends may have forgotten an idle connection: it looks open
-            // and never answers. The ping finds that before a caller's statement does.
+            // A device on the network path may have dropped the state of an idle connection, which
+            // then looks open but never answers. The ping detects that before a caller's statement
+            // does.
             None => (None, ping_endpoint(target, client).await),
             Some(ConnectionOrder::Cancel) => (None, true),
         };
@@ -286,10 +289,10 @@
     matches!(timeout(target.ping_timeout, ping).await, Ok(Ok(_)))
 }
 
-/// Hands back the statements that were ordered while the connection turned out to be dead.
+/// Reports the statements that were ordered on a dead connection as not sent.
 ///
-/// They would otherwise end with the connection, and callers would be left in doubt about
-/// statements of which no byte was sent.
+/// If they were dropped with the connection, their callers would be told that the statements may
+/// have run, although no byte was sent.
 async fn return_unsent(
     target: &ConnectionTarget,
     mut orders: mpsc::Receiver<ConnectionOrder>,
@@ -311,11 +314,11 @@
     }
 }
 
-/// Runs one statement and says whether the connection can take another.
+/// Runs one statement; returns its outcome and whether the connection can be used again.
 ///
-/// A connection that owes an answer is never reused: the late answer would be taken for the next
-/// statement's. The same goes for a connection on which a cancel was sent, which could arrive
-/// late and hit the next statement.
+/// A connection with an outstanding answer is never reused: the late answer would be taken for that
+/// of the next statement. Nor is a connection on which a cancel was sent, which could arrive late
+/// and cancel the next statement.
 async fn run_statement(
     client: &Client,
     run: RunOrder,
@@ -324,7 +327,7 @@
     if client.is_closed() {
         return (RunOutcome::NotSent, false);
     }
-    // It waited behind a ping until nobody wants its answer any more.
+    // The deadline passed while the statement waited behind a ping.
     if Instant::now() >= run.until {
         return (RunOutcome::NotSent, true);
     }
@@ -340,7 +343,7 @@
                     let _ = client.cancel_token().cancel_query(NoTls).await;
                 }
                 Some(_) => {}
-                // The leaseholder has let go of the connection: nobody wants the answer.
+                // The leaseholder has dropped the connection and doesn't wait for the answer.
                 None => return (RunOutcome::Lost, false),
             },
         }
@@ -349,7 +352,7 @@
     (outcome, reusable && !cancelled)
 }
 
-/// Describes one statement and says whether the connection can take another.
+/// Describes one statement; returns the outcome and whether the connection can be used again.
 async fn describe_statement(client: &Client, order: &DescribeOrder) -> (DescribeOutcome, bool) {
     let answered = timeout(order.limit, prepare_statement(client, order)).await;
     let outcome = answered.unwrap_or(DescribeOutcome::Lost);
@@ -360,9 +363,9 @@
     (outcome, reusable)
 }
 
-/// Lets the endpoint prepare a statement, with the types under which it would be run.
+/// Has the endpoint prepare a statement, with the parameter types with which it would be run.
 ///
-/// The echo proves that the description belongs to the statement, as for a statement that runs.
+/// As for a statement that runs, the echo proves that the description belongs to the statement.
 async fn prepare_statement(client: &Client, order: &DescribeOrder) -> DescribeOutcome {
     let types = vec![Type::TEXT; order.parameters];
     let echo_text = format!("show ragwort_position {}", order.id);
@@ -454,8 +457,8 @@
 
 /// Returns the columns of a statement that ended without a row.
 ///
-/// The client library names columns by their rows only. A read that finds nothing would look like
-/// a write: a driver that asks for columns together with the answer would be told that the
+/// The client library reports columns only with rows. A read that finds nothing would look like a
+/// write: a driver that asks for the columns together with the answer would be told that the
 /// statement has none, and show no table instead of an empty one.
 async fn find_columns(
     client: &Client,
@@ -465,7 +468,7 @@
     let types = vec![Type::TEXT; parameters];
     match client.prepare_typed(text, &types).await {
         Ok(statement) => Ok(name_columns(statement.columns())),
-        // It can't be described any more, as when it dropped what it was about.
+        // The statement can't be described any more, for example because it dropped its own table.
         Err(error) if error.as_db_error().is_some() => Ok(Vec::new()),
         Err(error) => Err(error),
     }
@@ -523,8 +526,8 @@
     })
 }
 
-/// Says whether the endpoint itself said that nothing ran: it shuts down or is fenced, takes no
-/// writes, or has no room.
+/// Says whether an error means that the endpoint has run nothing: it shuts down or is fenced, is
+/// read-only, or has no free connection.
 fn is_refusal(error: &DatabaseError) -> bool {
     matches!(
         error.sqlstate.as_str(),
--- a/crates/daemon/src/descriptors.rs
+++ b/crates/daemon/src/descriptors.rs
@@ -1,4 +1,5 @@
-//! Counts what holds the process's descriptors, and says how many connections to endpoints it may hold.
+//! Counts the process's file descriptors by use, and limits how many connections to endpoints it
+//! may hold.
 
 use crate::log_event;
 use crate::metrics::DaemonMetrics;
@@ -11,8 +12,9 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::Ordering;
 
-/// The part of the descriptors that connections to endpoints may take: as many are left to other VMs,
-/// gateways, endpoints that announce themselves, callers and the agreed log.
+/// Divisor of the limit of descriptors, which gives the number that connections to endpoints may
+/// take. As many are left to other VMs, gateways, endpoints that announce themselves, callers and
+/// the replicated log.
 const ENDPOINT_DIVISOR: u32 = 2;
 
 /// What a descriptor is held for.
@@ -20,7 +22,7 @@
 pub enum DescriptorUse {
     /// A connection to an endpoint, open or opening.
     Endpoints,
-    /// A gateway's link that brings statements.
+    /// A gateway's link for statements.
     StatementLinks,
     /// A link to another VM or to an agent.
     Peers,
@@ -37,7 +39,7 @@
         Self::Callers,
     ];
 
-    /// Returns the name in metrics and dumps.
+    /// Returns the name of the use in metrics and dumps.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Endpoints => "endpoints",
@@ -48,7 +50,7 @@
     }
 }
 
-/// The descriptors of one process; clones share the same counts.
+/// The counts and the limit of one process's descriptors; clones share the same counts.
 #[derive(Clone, Debug)]
 pub struct DescriptorBudget(Arc<BudgetState>);
 
@@ -72,14 +74,14 @@
         }))
     }
 
-    /// Counts a descriptor until the returned hold is dropped.
+    /// Counts a descriptor until the returned guard is dropped.
     pub fn hold(&self, purpose: DescriptorUse) -> DescriptorHold {
         let gauge = self.0.held[purpose as usize].clone();
         gauge.inc();
         DescriptorHold(gauge)
     }
 
-    /// Counts an endpoint to which connections may be opened until the returned hold is dropped.
+    /// Counts an endpoint to which connections may be opened until the returned guard is dropped.
     pub fn serve_endpoint(&self) -> DescriptorHold {
         let gauge = self.0.endpoints.clone();
         gauge.inc();
@@ -91,7 +93,7 @@
         read_gauge(&self.0.held[purpose as usize])
     }
 
-    /// Returns what the process may hold as connections to endpoints.
+    /// Returns how many connections to endpoints the process may hold, with the current counts.
     pub fn allowance(&self) -> ConnectionAllowance {
         let before = self.0.scarce.load(Ordering::Relaxed);
         let mut allowance = ConnectionAllowance {
@@ -101,7 +103,7 @@
             scarce: before,
         };
         allowance.scarce = allowance.is_scarce_after(before);
-        self.note_scarcity(&allowance);
+        self.log_scarcity_change(&allowance);
         allowance
     }
 
@@ -118,7 +120,7 @@
         })
     }
 
-    fn note_scarcity(&self, allowance: &ConnectionAllowance) {
+    fn log_scarcity_change(&self, allowance: &ConnectionAllowance) {
         let scarce = allowance.scarce;
         if self.0.scarce.swap(scarce, Ordering::Relaxed) == scarce {
             return;
@@ -137,7 +139,7 @@
     }
 }
 
-/// Counts one until it is dropped.
+/// A guard that counts one descriptor, or one endpoint, until it is dropped.
 #[derive(Debug)]
 pub struct DescriptorHold(Gauge);
 
@@ -147,7 +149,7 @@
     }
 }
 
-/// Returns the process's own limit of descriptors.
+/// Returns the process's soft limit of open descriptors.
 pub fn find_descriptor_limit() -> u32 {
     let limit = getrlimit(Resource::Nofile).current;
     limit.map_or(u32::MAX, |limit| u32::try_from(limit).unwrap_or(u32::MAX))
--- a/crates/daemon/src/directory.rs
+++ b/crates/daemon/src/directory.rs
@@ -1,7 +1,8 @@
-//! Where the control VMs are, as far as this VM knows.
+//! The addresses of the control VMs, as far as this VM knows them.
 //!
-//! A VM is told some control addresses at its start, of which some may be out of date. From its first
-//! lease on the catalog names all members with the control role, and takes precedence.
+//! The settings give a VM some control addresses at its start, of which some may be out of date.
+//! After the first lease the catalog names all members with the control role, and their addresses
+//! take precedence.
 
 use crate::member::MemberView;
 use crate::settings::DaemonSettings;
@@ -14,7 +15,7 @@
 /// A short list of control addresses.
 pub type ControlList = SmallVec<[SocketAddr; 8]>;
 
-/// Finds the control VMs. Clones share what they know.
+/// Looks up the addresses of control VMs. Clones share the same sources.
 #[derive(Clone)]
 pub struct ControlDirectory {
     settings: Arc<DaemonSettings>,
@@ -23,7 +24,7 @@
 }
 
 impl ControlDirectory {
-    /// Creates a directory from the settings, the present seeds and the catalog's copy.
+    /// Creates a directory from the settings, the current seeds and the catalog copy.
     pub fn new(
         settings: Arc<DaemonSettings>,
         seeds: watch::Receiver<Vec<SocketAddr>>,
@@ -36,8 +37,8 @@
         }
     }
 
-    /// Returns the control addresses: this VM's own first, then those that the catalog names, then
-    /// those from the settings, each once.
+    /// Returns the control addresses without duplicates: this VM's own first, then those in the
+    /// catalog, then those from the settings.
     pub fn addresses(&self) -> ControlList {
         let mut list = ControlList::new();
         if self.settings.roles.control {
@@ -46,16 +47,17 @@
         let view = self.view.borrow();
         let members = view.copy.members().filter(|member| member.traits.control);
         let mut known: ControlList = members.map(|member| member.peer_address).collect();
-        // Each VM begins at another one, so that a thousand members don't all ask the same.
+        // Each VM starts at another address, so that a thousand members don't all ask the same
+        // control VM.
         if !known.is_empty() {
-            let turn = usize::from(self.settings.listen.peers.port())
+            let offset = usize::from(self.settings.listen.peers.port())
                 + last_octet(self.settings.listen.peers);
             let length = known.len();
-            known.rotate_left(turn % length);
+            known.rotate_left(offset % length);
         }
-        let fixed = self.settings.control.iter().map(|control| control.address);
+        let listed = self.settings.control.iter().map(|control| control.address);
         let seeds = self.seeds.borrow();
-        for address in known.into_iter().chain(fixed).chain(seeds.iter().copied()) {
+        for address in known.into_iter().chain(listed).chain(seeds.iter().copied()) {
             if !list.contains(&address) {
                 list.push(address);
             }
@@ -65,12 +67,12 @@
 
     /// Returns the addresses from the settings.
     pub fn seeds(&self) -> ControlList {
-        let fixed = self.settings.control.iter().map(|control| control.address);
+        let listed = self.settings.control.iter().map(|control| control.address);
         let seeds = self.seeds.borrow();
-        fixed.chain(seeds.iter().copied()).collect()
+        listed.chain(seeds.iter().copied()).collect()
     }
 
-    /// Returns the members of the catalog's copy that hold the agreed log.
+    /// Returns the members of the catalog copy that hold the replicated log.
     pub fn members(&self) -> Vec<MemberRecord> {
         let view = self.view.borrow();
         let members = view.copy.members().filter(|member| member.traits.control);
--- a/crates/daemon/src/disk.rs
+++ b/crates/daemon/src/disk.rs
@@ -1,9 +1,9 @@
-//! The file that holds a control VM's agreed log.
+//! The file that holds a control VM's part of the replicated log.
 //!
-//! Bytes count as kept only once they are synced. A whole rewrite goes to a new file that takes
-//! the old one's place by rename, so that a crash leaves either the old log or the new one.
+//! Bytes are durable only once they are synced. A rewrite of the whole log goes to a new file that
+//! replaces the old one by a rename, so that a crash leaves either the old log or the new one.
 //!
-//! [`LogWriter`] is the thread that owns the file while the daemon runs.
+//! [`LogWriter`] runs the thread that owns the file while the daemon runs.
 
 use crate::log_event;
 use log::Level;
@@ -21,30 +21,31 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// The pause before a write that failed is tried again. A full disk is emptied within seconds at
-/// best, so a tenth of a second costs little of that.
+/// The pause before a failed write is tried again. A full disk is emptied within seconds at best,
+/// so a tenth of a second adds little.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Failed writes between two lines in the log: one line each five seconds.
+/// Failed writes for each line in the daemon's log: one line every five seconds.
 const FAILURES_PER_LINE: u64 = 50;
 
-/// The log holds the operators' documents as they wrote them, with their callers' keys.
-const OWNER_ONLY: u32 = 0o600;
+/// File mode of the log, which holds the operators' documents as they wrote them, including their
+/// callers' keys.
+const LOG_FILE_MODE: u32 = 0o600;
 
 const LOG_NAME: &str = "agreement.log";
-const FRESH_NAME: &str = "agreement.log.new";
+const REWRITE_NAME: &str = "agreement.log.new";
 
 /// An append-only file under the data folder.
 pub struct LogFile {
     folder: PathBuf,
     file: File,
     length: u64,
-    /// Whether a part of a record may stand behind `length`.
+    /// Whether the file may hold part of a record beyond `length`.
     torn: bool,
 }
 
 impl LogFile {
-    /// Opens the log under `folder`, creating both if missing, and returns its present bytes.
+    /// Opens the log under `folder`, creating both if missing, and returns its contents.
     ///
     /// # Errors
     ///
@@ -55,8 +56,8 @@
         sync_folder(folder)?;
         let mut bytes = Vec::new();
         file.read_to_end(&mut bytes)?;
-        // A record that was written but not yet synced when the process ended reads back whole. If
-        // the VM failed next, it would be gone again after this node had counted on it.
+        // A record that was written but not yet synced when the process ended is read back in full.
+        // If the VM then failed, the record would be lost after this node had relied on it.
         file.sync_all()?;
         let log = Self {
             folder: folder.to_path_buf(),
@@ -67,7 +68,7 @@
         Ok((log, bytes))
     }
 
-    /// Cuts the file to `length` bytes, dropping a record that a crash left half written.
+    /// Truncates the file to `length` bytes, dropping a record that a crash left half written.
     ///
     /// # Errors
     ///
@@ -82,12 +83,12 @@
     ///
     /// # Errors
     ///
-    /// Returns the operating system's error, after which nothing unsynced may be counted on.
+    /// Returns the operating system's error, after which nothing unsynced may be relied on.
     pub fn sync(&mut self) -> io::Result<()> {
         self.file.sync_data()
     }
 
-    /// Appends bytes, which are kept only after the next [`LogFile::sync`].
+    /// Appends bytes, which are durable only after the next [`LogFile::sync`].
     ///
     /// # Errors
     ///
@@ -108,34 +109,34 @@
     ///
     /// # Errors
     ///
-    /// Returns the operating system's error. What was written of the record is cut off before the next,
-    /// since a later record behind it would make the file unreadable.
+    /// Returns the operating system's error. What was written of the record is cut off before the
+    /// next, since a later record behind it would make the file unreadable.
     pub fn append_synced(&mut self, bytes: &[u8]) -> io::Result<()> {
         let before = self.length;
-        let kept = self.append(bytes).and_then(|()| self.sync());
-        if kept.is_err() {
+        let result = self.append(bytes).and_then(|()| self.sync());
+        if result.is_err() {
             self.length = before;
             self.torn = true;
         }
-        kept
+        result
     }
 
-    /// Replaces the whole log by `bytes`, synced.
+    /// Replaces the whole log by `bytes` and syncs it.
     ///
     /// # Errors
     ///
     /// Returns the operating system's error; the old log is still in place then.
     pub fn rewrite(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let fresh_path = self.folder.join(FRESH_NAME);
-        let mut fresh = OpenOptions::new()
+        let rewrite_path = self.folder.join(REWRITE_NAME);
+        let mut rewritten = OpenOptions::new()
             .create(true)
             .write(true)
             .truncate(true)
-            .mode(OWNER_ONLY)
-            .open(&fresh_path)?;
-        fresh.write_all(bytes)?;
-        fresh.sync_all()?;
-        std::fs::rename(&fresh_path, self.folder.join(LOG_NAME))?;
+            .mode(LOG_FILE_MODE)
+            .open(&rewrite_path)?;
+        rewritten.write_all(bytes)?;
+        rewritten.sync_all()?;
+        std::fs::rename(&rewrite_path, self.folder.join(LOG_NAME))?;
         sync_folder(&self.folder)?;
         self.file = open_for_append(&self.folder.join(LOG_NAME))?;
         self.length = bytes.len() as u64;
@@ -154,33 +155,33 @@
         .create(true)
         .read(true)
         .append(true)
-        .mode(OWNER_ONLY)
+        .mode(LOG_FILE_MODE)
         .open(path)
 }
 
-/// Syncs the folder itself: without this a crash can forget that the file was created or renamed.
+/// Syncs the folder itself; otherwise a crash may undo the creation or the rename of the file.
 fn sync_folder(folder: &Path) -> io::Result<()> {
     File::open(folder)?.sync_all()
 }
 
-/// What the writer's thread is asked.
+/// A write for the writer's thread.
 enum WriteOrder {
     Append(Vec<u8>),
     Rewrite(Vec<u8>),
 }
 
-/// A write and where its end is reported: the file's length after it.
+/// A queued write, and the channel that receives the file's length after it.
 struct PendingWrite {
     order: WriteOrder,
     done: oneshot::Sender<u64>,
 }
 
-/// The thread that owns the log file.
+/// Runs a thread that owns the log file.
 ///
-/// A disk may hang for seconds, or be full. On a thread of its own that stops nothing but what waits
-/// for the disk: heartbeats of other roles, callers and logs go on. A write that fails is taken
-/// back and tried again until it succeeds, since a control VM that gave up would take the groups
-/// that it leads down with it.
+/// A disk may hang for seconds, or be full. On a thread of its own this blocks only what waits for
+/// the disk: heartbeats of other roles, callers and logs go on. A failed write is undone and tried
+/// again until it succeeds, since a control VM that gave up would take down the groups that it
+/// leads as well.
 pub struct LogWriter {
     orders: Option<mpsc::Sender<PendingWrite>>,
     thread: Option<JoinHandle<()>>,
@@ -191,7 +192,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the operating system's error if no thread can be had.
+    /// Returns the operating system's error if the thread can't be started.
     pub fn start(file: LogFile) -> io::Result<Self> {
         let (orders, queue) = mpsc::channel();
         let thread = thread::Builder::new()
@@ -203,25 +204,25 @@
         })
     }
 
-    /// Appends bytes and syncs them; returns the file's length once they are kept.
+    /// Appends bytes and syncs them; returns the file's length once they are durable.
     ///
-    /// `None` means that the thread has ended, so that nothing is known to be kept.
+    /// `None` means that the thread has ended; the bytes may not be durable.
     pub async fn append(&self, bytes: Vec<u8>) -> Option<u64> {
         self.order(WriteOrder::Append(bytes)).await
     }
 
-    /// Replaces the whole log, synced; returns its length.
+    /// Replaces the whole log and syncs it; returns its length.
     ///
-    /// `None` means that the thread has ended; the old log is in place then.
+    /// `None` means that the thread has ended; the old log is then still in place.
     pub async fn rewrite(&self, bytes: Vec<u8>) -> Option<u64> {
         self.order(WriteOrder::Rewrite(bytes)).await
     }
 
     async fn order(&self, order: WriteOrder) -> Option<u64> {
-        let (done, kept) = oneshot::channel();
+        let (done, written) = oneshot::channel();
         let orders = self.orders.as_ref()?;
         orders.send(PendingWrite { order, done }).ok()?;
-        kept.await.ok()
+        written.await.ok()
     }
 }
 
@@ -240,7 +241,7 @@
     while let Ok(write) = queue.recv() {
         let mut failures = 0;
         while let Err(error) = perform_write(&mut file, &write.order) {
-            // Nobody waits for it any more: the daemon is ending.
+            // Nobody waits for the write any more: the daemon is ending.
             if write.done.is_closed() {
                 return;
             }
@@ -258,7 +259,7 @@
         if failures > 0 {
             log_event!(Level::Info, "log_write_recovered", failures = failures);
         }
-        // An asker that is gone needs no answer.
+        // The receiver may have been dropped in the meantime.
         let _ = write.done.send(file.length());
     }
 }
--- a/crates/daemon/src/dump.rs
+++ b/crates/daemon/src/dump.rs
@@ -33,7 +33,7 @@
         *self.ready.borrow()
     }
 
-    /// Asks every task for its state.
+    /// Collects the state of every task.
     pub async fn collect(&self) -> serde_json::Value {
         let view = self.view.borrow().clone();
         let now = self.clock.now();
@@ -70,15 +70,14 @@
     answer.await.ok()
 }
 
-/// Answers dump requests until nobody can ask any more.
+/// Answers dump requests until all their senders are dropped.
 pub(crate) async fn answer_dumps(dump: NodeDump, mut requests: mpsc::Receiver<DumpRequest>) {
     while let Some(reply) = requests.recv().await {
         let _ = reply.send(dump.collect().await);
     }
 }
 
-/// Describes an account without its keys' digests: whoever reads a dump needs to know only how many
-/// there are.
+/// Describes an account for a dump, which shows only the number of its keys and not their digests.
 fn describe_account(terms: &AccountTerms) -> serde_json::Value {
     serde_json::json!({
         "name": terms.name,
--- a/crates/daemon/src/formation.rs
+++ b/crates/daemon/src/formation.rs
@@ -1,9 +1,9 @@
-//! Brings the control VMs together: the first voter set, and VMs that know nobody yet.
+//! Forms the first voter set, and finds other control VMs for one without a leader.
 //!
-//! At the very first start, and only then, the VM that the settings name first among the seeds asks
-//! all seeds who they are and forms the first voter set of them. Every other control VM joins later
-//! through the agreed log. A VM without a leader asks the seeds, and whomever they name, until it
-//! has one.
+//! At the very first start, and only then, the VM that is first among the seeds asks all seeds for
+//! their identities and, once all have answered, forms the first voter set of them. Every other
+//! control VM joins later through the replicated log. A VM without a leader asks the seeds, and the
+//! VMs that they name, until it has one.
 
 use crate::control::ControlEvent;
 use crate::directory::ControlDirectory;
@@ -25,23 +25,23 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// How often a control VM without a leader asks the others who they are. VMs of one start come up
-/// within a third of a second.
-const ASK_EVERY: Duration = Duration::from_millis(150);
+/// Interval at which a control VM without a leader asks the others for their identities. VMs of one
+/// start come up within a third of a second.
+const IDENTITY_QUERY_INTERVAL: Duration = Duration::from_millis(150);
 
-/// How often a control VM with a leader looks whether it still has one.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+/// Interval at which a control VM with a leader checks whether it still has one.
+const LEADER_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a control VM may take to say who it is.
-const ASK_LIMIT: Duration = Duration::from_millis(500);
+/// Time limit for each call to another control VM.
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Finds the other control VMs for this one, and forms the first voter set if that is its part.
+/// Finds the other control VMs, and forms the first voter set if this VM is the one to do so.
 pub struct FormationTask {
     /// The daemon's settings.
     pub settings: Arc<DaemonSettings>,
     /// Links to other VMs.
     pub links: PeerLinks,
-    /// Where control VMs may be.
+    /// The addresses of control VMs, as far as they are known.
     pub directory: ControlDirectory,
     /// This VM's control role.
     pub control: mpsc::Sender<ControlEvent>,
@@ -49,24 +49,24 @@
     pub stop: watch::Receiver<bool>,
 }
 
-/// A control VM that answered.
+/// A control VM that has answered, and its identity.
 struct FoundPeer {
     address: SocketAddr,
     identity: ControlIdentity,
 }
 
 impl FormationTask {
-    /// Runs until told to stop.
+    /// Runs until `stop` is set.
     pub async fn run(mut self) {
         loop {
             let Some(own) = self.identify().await else {
                 return;
             };
             let pause = match own.led {
-                true => LOOK_EVERY,
+                true => LEADER_CHECK_INTERVAL,
                 false => {
-                    self.seek(&own).await;
-                    ASK_EVERY
+                    self.find_peers(&own).await;
+                    IDENTITY_QUERY_INTERVAL
                 }
             };
             tokio::select! {
@@ -85,35 +85,38 @@
         answer.await.ok()
     }
 
-    /// Asks everybody who may hold the agreed log, and tells this VM's control role who answered.
-    async fn seek(&self, own: &ControlIdentity) {
+    /// Asks all VMs that may hold the replicated log for their identities, and passes the answers
+    /// to this VM's control role.
+    async fn find_peers(&self, own: &ControlIdentity) {
         let mut asked: BTreeSet<SocketAddr> = self.directory.seeds().into_iter().collect();
         asked.extend(own.known.iter().map(|peer| peer.address));
         asked.remove(&self.settings.listen.peers);
-        let asking = asked.into_iter().map(|address| self.ask(address));
+        let asking = asked
+            .into_iter()
+            .map(|address| self.query_identity(address));
         let found: Vec<FoundPeer> = futures::future::join_all(asking)
             .await
             .into_iter()
             .flatten()
             .collect();
         let known = found.iter().flat_map(FoundPeer::to_peers).collect();
-        // The control role ends only together with this task's parent.
+        // The control role ends only when the daemon ends.
         let _ = self.control.send(ControlEvent::Learned(known)).await;
         self.form(own, &found).await;
     }
 
-    async fn ask(&self, address: SocketAddr) -> Option<FoundPeer> {
+    async fn query_identity(&self, address: SocketAddr) -> Option<FoundPeer> {
         let call = |client: Arc<WsClient>| async move { client.control_identity().await };
-        let reply = self.links.call(address, ASK_LIMIT, call).await;
+        let reply = self.links.call(address, CALL_TIMEOUT, call).await;
         let identity = reply.ok()??;
         Some(FoundPeer { address, identity })
     }
 
-    /// Says whether the first voter set is this VM's to form.
+    /// Says whether this VM is the one that forms the first voter set.
     ///
-    /// Exactly one VM may do it. Two that formed a set each would take changes that the other never
-    /// hears of.
-    fn may_form(&self) -> bool {
+    /// Exactly one VM may do so. Two voter sets formed independently would each commit changes that
+    /// the other never receives.
+    fn forms_first_voters(&self) -> bool {
         let first = self.directory.seeds().first().copied();
         self.settings.is_first_start() && first == Some(self.settings.listen.peers)
     }
@@ -127,13 +130,13 @@
         if self.control.send(order).await.is_err() || answer.await != Ok(true) {
             return;
         }
-        let named = found
+        let empty_voters = found
             .iter()
             .filter(|peer| voters.contains(&peer.identity.id));
-        for peer in named.filter(|peer| peer.identity.empty) {
+        for peer in empty_voters.filter(|peer| peer.identity.empty) {
             let voters = voters.clone();
             let call = |client: Arc<WsClient>| async move { client.form_voters(voters).await };
-            let reply = self.links.call(peer.address, ASK_LIMIT, call).await;
+            let reply = self.links.call(peer.address, CALL_TIMEOUT, call).await;
             let formed = matches!(reply, Ok(true));
             let vm = &peer.identity.id.vm;
             log_event!(Level::Info, "voters_formed", vm = vm, formed = formed);
@@ -142,13 +145,13 @@
 
     /// Returns the first voter set: all seeds, once every one of them has answered.
     ///
-    /// A set that was written already stays as it is, and is passed on to those that don't have it
-    /// yet: whoever wrote it may have been restarted in between.
+    /// A set that was already written is kept, and passed on to those that lack it: the VM that
+    /// wrote it may have restarted in between.
     fn choose_voters(&self, own: &ControlIdentity, found: &[FoundPeer]) -> Option<Vec<MemberId>> {
         if !own.empty {
             return Some(own.voters.clone());
         }
-        if !self.may_form() {
+        if !self.forms_first_voters() {
             return None;
         }
         let seeds = self.directory.seeds();
--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -1,16 +1,20 @@
-//! The gateway: finds the leaseholder of a statement's group and brings back its one reply.
+//! The gateway: forwards a statement to the leaseholder of its group and returns the one reply.
 //!
-//! A gateway holds no database connection. What it decides is whether a statement that could not
-//! be handed over is worth another attempt within its deadline, and what may be claimed of a
-//! statement whose reply was lost.
+//! A gateway holds no database connections. A statement that was not handed over is tried again
+//! within its deadline, as long as a takeover of the group can end in time. A statement whose reply
+//! was lost is resent only if a second run does no harm (see `is_resendable`); otherwise the caller
+//! is told that it may have run.
+//!
+//! If the leaseholder can't be reached directly, the statement goes through one of the group's
+//! standbys, or through another gateway.
 
 use crate::clock::NodeClock;
-use crate::detours::MOST_DETOURS;
-use crate::detours::list_detours;
 use crate::log_event;
 use crate::member::MemberView;
 use crate::peers::LinkError;
 use crate::peers::PeerLinks;
+use crate::relay_gateways::MAX_RELAY_GATEWAYS;
+use crate::relay_gateways::list_relay_gateways;
 use crate::statements::links::CallSort;
 use crate::statements::links::StatementLinks;
 use jsonrpsee_ws_client::WsClient;
@@ -54,77 +58,81 @@
 /// The pause between two attempts to hand a statement over.
 const ATTEMPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// What a leaseholder's reply may take beyond the statement's deadline. The leaseholder answers by
-/// the deadline itself; the grace covers the way back.
+/// How long after a statement's deadline its reply is still awaited. The leaseholder answers by the
+/// deadline; this covers the network path back.
 const REPLY_GRACE: Duration = Duration::from_millis(250);
 
-/// What of a target is left for the ways between caller, gateway and leaseholder, which neither of
-/// them can measure: callers are up to 3 ms from their gateway, failure domains 1.5 ms apart.
-const WAY_BACK: Duration = Duration::from_millis(10);
+/// The part of a latency target that is reserved for the network between caller, gateway and
+/// leaseholder, which neither of them can measure: callers are up to 3 ms from their gateway,
+/// failure domains 1.5 ms apart.
+const NETWORK_ALLOWANCE: Duration = Duration::from_millis(10);
 
-/// How a group's leaseholder is replaced after it is lost: its lease must end, then the placement
-/// is committed and the successor collects the journal. Two heartbeats and a round of calls beyond
-/// the lease is what that takes when nothing else fails.
+/// The time in which a lost leaseholder is replaced when nothing else fails, in leases. Its lease
+/// must end; then the placement is committed and the successor collects the journal, which takes
+/// two heartbeats and a round of calls.
 const TAKEOVER_LEASES: f64 = 1.5;
 
-/// The same when the group is handed over and its next leaseholder answers: that one learns of its
-/// placement with its next heartbeat, of which a lease holds three or more.
+/// The time in which a planned handover completes when the next leaseholder answers, in leases. The
+/// successor learns of its placement with its next heartbeat, and a lease holds at least three
+/// heartbeats.
 const HANDOVER_LEASES: f64 = 0.5;
 
-/// A statement's way through one gateway.
+/// Forwards the statements of one VM's callers.
 pub struct Gateway {
     clock: NodeClock,
     links: GatewayLinks,
     view: watch::Receiver<MemberView>,
     lease: Duration,
     outages: Mutex<HashMap<GroupName, ClockTime>>,
-    /// What is known of this gateway's reach while it has no lease.
+    /// Attempts to reach other gateways while this one has no lease.
     isolation: Mutex<IsolationWatch>,
-    /// The groups to which other gateways found no way either.
-    detour_pauses: Mutex<DetourPauses>,
+    /// The groups whose leaseholder other gateways couldn't reach either, with the pause before the
+    /// next attempt.
+    relay_pauses: Mutex<DetourPauses>,
 }
 
-/// The ways from a gateway to other VMs.
+/// The links from a gateway to other VMs.
 #[derive(Clone)]
 pub struct GatewayLinks {
-    /// Remote calls.
+    /// The links for remote calls.
     pub peers: PeerLinks,
-    /// Statements.
+    /// The links for statements.
     pub statements: Arc<StatementLinks>,
-    /// The VM whose links these are.
+    /// The gateway's VM.
     pub vm: VmName,
     /// Its failure domain.
     pub domain: DomainName,
 }
 
-/// How one attempt to hand a statement over ended.
+/// The outcome of one attempt to hand a statement over.
 enum HandOver {
     /// The leaseholder replied.
     Replied(StatementReply),
-    /// No connection to the VM could be had, so that the statement was not handed over.
-    OutOfReach,
-    /// The statement was not handed over, or the other side said that it did not take it.
-    NotTaken(RefusalCause),
-    /// The VM that is to lead the group answers and doesn't lead it yet.
+    /// No connection to the VM could be opened, so the statement was not handed over.
+    Unreachable,
+    /// The statement was not handed over, or the VM answered that it has no lease or, as a relay,
+    /// that it reaches no leaseholder.
+    NotAccepted(RefusalCause),
+    /// The VM that the group is placed on answers, but doesn't lead the group yet.
     NotLeading,
     /// The statement was handed over and the reply was lost.
     ReplyLost,
 }
 
-/// Which VMs to hand a statement to.
-struct RouteTarget {
-    leaseholder: PeerPlace,
-    relays: Vec<PeerPlace>,
+/// The VMs through which a group's statements can be handed over.
+struct GroupRoute {
+    leaseholder: PeerAddresses,
+    relays: Vec<PeerAddresses>,
 }
 
-/// Where a VM answers.
+/// The addresses on which a VM answers.
 #[derive(Clone, Copy)]
-struct PeerPlace {
+struct PeerAddresses {
     calls: SocketAddr,
     statements: Option<SocketAddr>,
 }
 
-impl From<&MemberRecord> for PeerPlace {
+impl From<&MemberRecord> for PeerAddresses {
     fn from(member: &MemberRecord) -> Self {
         Self {
             calls: member.peer_address,
@@ -133,14 +141,14 @@
     }
 }
 
-/// What a statement is called in the log.
-struct RequestNames {
+/// The fields that identify a statement in the log.
+struct RequestLogFields {
     id: String,
     customer: CustomerName,
     group: GroupName,
 }
 
-impl From<&StatementRequest> for RequestNames {
+impl From<&StatementRequest> for RequestLogFields {
     fn from(request: &StatementRequest) -> Self {
         let context = request.context.as_ref();
         let id = context.map(|context| context.caller_id.clone());
@@ -155,8 +163,8 @@
 impl Gateway {
     /// Creates a gateway that looks up contracts and placements in `view`.
     ///
-    /// `lease` is the length of a member's lease: the time that a lost leaseholder's successor
-    /// must wait.
+    /// `lease` is the length of a member's lease, which the successor of a lost leaseholder must
+    /// wait for.
     pub fn new(
         clock: NodeClock,
         links: GatewayLinks,
@@ -170,24 +178,29 @@
             lease,
             outages: Mutex::default(),
             isolation: Mutex::default(),
-            detour_pauses: Mutex::default(),
+            relay_pauses: Mutex::default(),
         }
     }
 
-    /// Brings a statement to its group's leaseholder and returns the reply.
+    /// Forwards a statement to its group's leaseholder and returns the reply.
     pub async fn execute(&self, request: StatementRequest) -> StatementReply {
         let started = self.clock.now();
-        let known = RequestNames::from(&request);
-        let reply = self.bring(request, started).await;
-        self.log_failure(&known, &reply, started);
+        let log_fields = RequestLogFields::from(&request);
+        let reply = self.forward_statement(request, started).await;
+        self.log_failure(&log_fields, &reply, started);
         reply
     }
 
-    /// Logs what became of a statement that has no answer of an endpoint.
+    /// Logs the outcome of a statement that no endpoint answered.
     ///
-    /// Its leaseholder has its own line, if the statement got there; this one says what the gateway
+    /// The leaseholder logs the statement as well if it got there; this line shows what the gateway
     /// knew when it gave up.
-    fn log_failure(&self, known: &RequestNames, reply: &StatementReply, started: ClockTime) {
+    fn log_failure(
+        &self,
+        log_fields: &RequestLogFields,
+        reply: &StatementReply,
+        started: ClockTime,
+    ) {
         let (outcome, cause) = match &reply.verdict {
             RequestVerdict::Ran(_) => return,
             RequestVerdict::NotRun(refusal) => ("refused", refusal.cause.to_string()),
@@ -196,14 +209,14 @@
         let view = self.view.borrow();
         let placement = view
             .copy
-            .group(&known.group)
+            .group(&log_fields.group)
             .map(|record| &record.placement);
         log_event!(
             Level::Info,
             "request_failed",
-            id = known.id,
-            customer = known.customer,
-            group = known.group,
+            id = log_fields.id,
+            customer = log_fields.customer,
+            group = log_fields.group,
             outcome = outcome,
             cause = cause,
             took_ms = self.clock.now().since(started).as_millis(),
@@ -214,7 +227,11 @@
         );
     }
 
-    async fn bring(&self, request: StatementRequest, started: ClockTime) -> StatementReply {
+    async fn forward_statement(
+        &self,
+        request: StatementRequest,
+        started: ClockTime,
+    ) -> StatementReply {
         let view = self.view.borrow().clone();
         let contract = view.copy.contract(&request.customer);
         let terms = contract.and_then(|held| find_terms(&held.contract, &request.marks));
@@ -223,20 +240,20 @@
             None if view.may_serve(started) => {
                 return reply_with(&request, RequestVerdict::refused(RefusalCause::Contract, 0));
             }
-            // The contract may have come since this copy of the catalog.
+            // Without a lease the catalog copy may be out of date and lack the contract.
             None => return self.refuse(&request, RefusalCause::NoLease),
         };
         let deadline = started + find_deadline(&terms, &request.marks);
-        self.attempt_until(request, &terms, started, deadline).await
+        self.forward_until(request, &terms, started, deadline).await
     }
 
-    /// Passes a statement on to its leaseholder for a gateway that can't reach it.
+    /// Forwards a statement to its leaseholder on behalf of a gateway that can't reach it.
     ///
-    /// A gateway that is cut off itself says so, which tells the asker to try another one; any other
-    /// refusal tells that nobody leads the group.
+    /// A gateway that is cut off itself refuses with [`RefusalCause::NoLease`], which tells the
+    /// asking gateway to try another one; any other refusal means that nobody leads the group.
     pub async fn relay(&self, request: StatementRequest) -> StatementReply {
-        let Some(target) = self.find_target(&request.group) else {
-            return self.refuse(&request, self.name_outage());
+        let Some(target) = self.find_route(&request.group) else {
+            return self.refuse(&request, self.outage_cause());
         };
         let limit = Duration::from_millis(ragwort_types::LONGEST_DEADLINE_MS);
         match self
@@ -244,32 +261,33 @@
             .await
         {
             HandOver::Replied(reply) => reply,
-            HandOver::NotTaken(cause) => self.refuse(&request, cause),
-            HandOver::NotLeading | HandOver::OutOfReach => {
-                self.refuse(&request, self.name_outage())
+            HandOver::NotAccepted(cause) => self.refuse(&request, cause),
+            HandOver::NotLeading | HandOver::Unreachable => {
+                self.refuse(&request, self.outage_cause())
             }
-            HandOver::ReplyLost => doubt(&request),
+            HandOver::ReplyLost => may_have_run_reply(&request),
         }
     }
 
-    /// Says why no leaseholder can be reached from here.
-    fn name_outage(&self) -> RefusalCause {
+    /// Returns the reason why no leaseholder can be reached from here.
+    fn outage_cause(&self) -> RefusalCause {
         let remaining = self.view.borrow().lease.remaining(self.clock.now());
-        match self.is_lonely(remaining) {
+        match self.may_be_isolated(remaining) {
             true => RefusalCause::NoLease,
             false => RefusalCause::NoLeaseholder,
         }
     }
 
-    /// Says whether several heartbeats in a row had no answer: it may be this VM that is cut off.
-    fn is_lonely(&self, remaining: Duration) -> bool {
+    /// Says whether several heartbeats in a row went unanswered, so that this VM may be the one
+    /// that is cut off.
+    fn may_be_isolated(&self, remaining: Duration) -> bool {
         remaining < self.lease / 2
     }
 
-    /// Brings a statement that is to be described to its group's leaseholder.
+    /// Forwards a request to describe a statement to the group's leaseholder.
     ///
-    /// A description changes nothing, so it is asked for again within its deadline until a
-    /// leaseholder replies.
+    /// A description changes nothing, so it is requested again until a leaseholder replies or the
+    /// deadline passes.
     pub async fn describe(&self, mut request: ShapeRequest) -> ShapeReply {
         let started = self.clock.now();
         let view = self.view.borrow().clone();
@@ -290,7 +308,7 @@
                 let lost = ShapeOutcome::refused(RefusalCause::TransactionLost, 0);
                 return shape_reply(&request, lost);
             }
-            let end = self.note_outage(&request.group, TAKEOVER_LEASES);
+            let end = self.record_outage(&request.group, TAKEOVER_LEASES);
             if end >= deadline || end <= self.clock.now() {
                 return self.refuse_describe(&request);
             }
@@ -298,11 +316,12 @@
         }
     }
 
-    /// Passes a description on to its leaseholder for a gateway that can't reach it.
+    /// Forwards a request to describe a statement on behalf of a gateway that can't reach the
+    /// leaseholder.
     pub async fn relay_describe(&self, mut request: ShapeRequest) -> ShapeReply {
         request.relay = false;
         let limit = Duration::from_millis(ragwort_types::LONGEST_DEADLINE_MS);
-        let reply = match self.find_target(&request.group) {
+        let reply = match self.find_route(&request.group) {
             Some(target) => self.ask_shape(&request, target.leaseholder, limit).await,
             None => None,
         };
@@ -313,7 +332,7 @@
         if !self.view.borrow().may_serve(self.clock.now()) {
             return None;
         }
-        let target = self.find_target(&request.group)?;
+        let target = self.find_route(&request.group)?;
         if let Some(reply) = self.ask_shape(request, target.leaseholder, limit).await {
             self.end_outage(&request.group);
             return Some(reply);
@@ -328,16 +347,16 @@
         None
     }
 
-    /// Asks one VM for a statement's shape; `None` if it doesn't lead the group, or no reply came.
+    /// Asks one VM for a statement's shape; `None` if it doesn't lead the group or didn't reply.
     async fn ask_shape(
         &self,
         request: &ShapeRequest,
-        place: PeerPlace,
+        peer: PeerAddresses,
         limit: Duration,
     ) -> Option<ShapeReply> {
         let sent = request.clone();
         let call = |client: Arc<WsClient>| async move { client.describe(sent).await };
-        let reply = self.links.peers.call(place.calls, limit, call).await.ok()?;
+        let reply = self.links.peers.call(peer.calls, limit, call).await.ok()?;
         let misrouted = matches!(
             &reply.outcome,
             ShapeOutcome::Refused(refusal) if is_misrouted(refusal.cause)
@@ -346,14 +365,14 @@
     }
 
     fn refuse_describe(&self, request: &ShapeRequest) -> ShapeReply {
-        let after = self.return_after(&request.group);
+        let after = self.retry_after_ms(&request.group);
         let outcome = ShapeOutcome::refused(RefusalCause::NoLeaseholder, after);
         shape_reply(request, outcome)
     }
 
     /// Cancels a statement at its group's leaseholder; the outcome arrives as its reply.
     pub async fn cancel(&self, group: GroupName, id: StatementId) {
-        let Some(target) = self.find_target(&group) else {
+        let Some(target) = self.find_route(&group) else {
             return;
         };
         let call = |client: Arc<WsClient>| async move { client.cancel(group, id).await };
@@ -364,7 +383,7 @@
             .await;
     }
 
-    async fn attempt_until(
+    async fn forward_until(
         &self,
         mut request: StatementRequest,
         terms: &KindTerms,
@@ -379,25 +398,25 @@
             let (cause, leases) = match self.try_once(&request, limit).await {
                 HandOver::Replied(reply) => {
                     self.end_outage(&request.group);
-                    return settle_reply(&request, reply, terms, sent_before);
+                    return reply_to_caller(&request, reply, terms, sent_before);
                 }
-                HandOver::NotTaken(cause) => (cause, TAKEOVER_LEASES),
-                HandOver::OutOfReach => (RefusalCause::NoLeaseholder, TAKEOVER_LEASES),
+                HandOver::NotAccepted(cause) => (cause, TAKEOVER_LEASES),
+                HandOver::Unreachable => (RefusalCause::NoLeaseholder, TAKEOVER_LEASES),
                 HandOver::NotLeading => (RefusalCause::NoLeaseholder, HANDOVER_LEASES),
                 HandOver::ReplyLost if is_resendable(&request, terms) => {
                     sent_before = true;
                     (RefusalCause::NoLeaseholder, TAKEOVER_LEASES)
                 }
-                HandOver::ReplyLost => return doubt(&request),
+                HandOver::ReplyLost => return may_have_run_reply(&request),
             };
-            if let Some(lost) = lose_transaction(&request) {
+            if let Some(lost) = refuse_lost_transaction(&request) {
                 return lost;
             }
-            let end = self.note_outage(&request.group, leases);
+            let end = self.record_outage(&request.group, leases);
             if end >= deadline || end <= self.clock.now() {
-                // A read leaves nothing behind, and an idempotent write may have run by now.
+                // An earlier attempt at a write may have run by now; a read changes nothing.
                 if sent_before && terms.access == AccessMode::Write {
-                    return doubt(&request);
+                    return may_have_run_reply(&request);
                 }
                 return self.refuse(&request, cause);
             }
@@ -407,92 +426,97 @@
 
     async fn try_once(&self, request: &StatementRequest, limit: Duration) -> HandOver {
         let remaining = self.view.borrow().lease.remaining(self.clock.now());
-        if self.is_lonely(remaining) {
-            self.prepare_detours();
+        if self.may_be_isolated(remaining) {
+            self.connect_relay_gateways();
         }
         if remaining.is_zero() {
-            return self.try_detours(request, limit).await;
+            return self.relay_through_gateways(request, limit).await;
         }
-        let Some(target) = self.find_target(&request.group) else {
-            return HandOver::NotTaken(RefusalCause::NoLeaseholder);
+        let Some(target) = self.find_route(&request.group) else {
+            return HandOver::NotAccepted(RefusalCause::NoLeaseholder);
         };
         let direct = self
             .hand_over(request, target.leaseholder, limit, false)
             .await;
-        let HandOver::OutOfReach = direct else {
+        let HandOver::Unreachable = direct else {
             return direct;
         };
-        // The path between this VM and the leaseholder may be cut while both live: a standby in
-        // another failure domain usually still reaches it, or another gateway does.
+        // The network path between this VM and the leaseholder may be cut while both run. A standby
+        // in another failure domain usually still reaches it, or another gateway does.
         for relay in target.relays {
             let relayed = self.hand_over(request, relay, limit, true).await;
-            if !is_untaken(&relayed) {
+            if !was_not_handed_over(&relayed) {
                 return relayed;
             }
         }
-        match self.try_detours(request, limit).await {
-            HandOver::NotTaken(_) => HandOver::OutOfReach,
+        match self.relay_through_gateways(request, limit).await {
+            HandOver::NotAccepted(_) => HandOver::Unreachable,
             taken => taken,
         }
     }
 
-    /// Hands a statement to another gateway, which brings it to the leaseholder.
+    /// Hands a statement to another gateway, which forwards it to the leaseholder.
     ///
-    /// A gateway that is cut off from every control VM and leaseholder, but not from its callers, would
-    /// refuse them for as long, and the balancer goes on sending new ones where most gateways of a
-    /// failure domain are cut off. The other gateway goes by its own copy of the catalog, and the
-    /// leaseholder checks lease and contract, so nothing rests on what this one knows.
-    async fn try_detours(&self, request: &StatementRequest, limit: Duration) -> HandOver {
+    /// A gateway that is cut off from all control VMs and leaseholders, but not from its callers,
+    /// would otherwise refuse their statements for as long as that lasts, and the balancer keeps
+    /// sending it new callers where most gateways of a failure domain are cut off. The other
+    /// gateway uses its own catalog copy, and the leaseholder checks lease and contract, so nothing
+    /// depends on this gateway's copy.
+    async fn relay_through_gateways(
+        &self,
+        request: &StatementRequest,
+        limit: Duration,
+    ) -> HandOver {
         let now = self.clock.now();
         if !self.isolation().may_try(now) {
-            return HandOver::NotTaken(RefusalCause::NoLease);
+            return HandOver::NotAccepted(RefusalCause::NoLease);
         }
-        if !self.detour_pauses().may_try(now, &request.group) {
-            return HandOver::NotTaken(RefusalCause::NoLeaseholder);
+        if !self.relay_pauses().may_try(now, &request.group) {
+            return HandOver::NotAccepted(RefusalCause::NoLeaseholder);
         }
         let mut reached = false;
-        for place in self.find_detours() {
-            let relayed = self.hand_over(request, place, limit, true).await;
+        for peer in self.find_relay_gateways() {
+            let relayed = self.hand_over(request, peer, limit, true).await;
             match relayed {
-                HandOver::OutOfReach | HandOver::NotTaken(RefusalCause::NoLease) => {}
-                HandOver::NotTaken(_) | HandOver::NotLeading => reached = true,
+                HandOver::Unreachable | HandOver::NotAccepted(RefusalCause::NoLease) => {}
+                HandOver::NotAccepted(_) | HandOver::NotLeading => reached = true,
                 taken => {
                     self.isolation().note_reached();
                     return taken;
                 }
             }
         }
-        self.note_vain_detour(reached, &request.group)
+        self.record_failed_relay(reached, &request.group)
     }
 
-    /// Notes that no other gateway could bring a statement to its leaseholder.
+    /// Records that no other gateway could forward a statement to its leaseholder.
     ///
-    /// Where one was reached that isn't cut off, nobody leads this group, and its statements alone wait
-    /// with the next try. If all waited, half of the gateways would refuse everything for as long as one
-    /// group has no leaseholder.
-    fn note_vain_detour(&self, reached: bool, group: &GroupName) -> HandOver {
+    /// If one was reached that isn't cut off itself, nobody leads this group, and only its
+    /// statements pause before the next attempt. If all statements paused, half of the gateways
+    /// would refuse everything for as long as one group has no leaseholder.
+    fn record_failed_relay(&self, reached: bool, group: &GroupName) -> HandOver {
         let now = self.clock.now();
         if reached {
             self.isolation().note_reached();
-            self.detour_pauses().note_vain(now, group);
-            return HandOver::NotTaken(RefusalCause::NoLeaseholder);
+            self.relay_pauses().note_vain(now, group);
+            return HandOver::NotAccepted(RefusalCause::NoLeaseholder);
         }
         self.isolation().note_vain(now);
-        HandOver::NotTaken(RefusalCause::NoLease)
+        HandOver::NotAccepted(RefusalCause::NoLease)
     }
 
-    /// Connects to other gateways, so that a statement needn't wait for that later.
-    fn prepare_detours(&self) {
-        let places = self.find_detours();
-        for address in places.into_iter().filter_map(|place| place.statements) {
+    /// Opens links to other gateways in advance, so that a statement doesn't wait for a connection.
+    fn connect_relay_gateways(&self) {
+        let gateways = self.find_relay_gateways();
+        for address in gateways.into_iter().filter_map(|peer| peer.statements) {
             self.links.statements.prepare(address);
         }
     }
 
-    fn find_detours(&self) -> SmallVec<[PeerPlace; MOST_DETOURS]> {
+    fn find_relay_gateways(&self) -> SmallVec<[PeerAddresses; MAX_RELAY_GATEWAYS]> {
         let view = self.view.borrow();
-        let members = list_detours(&view, &self.links.vm, &self.links.domain);
-        members.into_iter().map(PeerPlace::from).collect()
+        let members = list_relay_gateways(&view, &self.links.vm, &self.links.domain);
+        members.into_iter().map(PeerAddresses::from).collect()
     }
 
     fn isolation(&self) -> MutexGuard<'_, IsolationWatch> {
@@ -501,20 +525,20 @@
             .expect("no holder of this lock panics")
     }
 
-    fn detour_pauses(&self) -> MutexGuard<'_, DetourPauses> {
-        self.detour_pauses
+    fn relay_pauses(&self) -> MutexGuard<'_, DetourPauses> {
+        self.relay_pauses
             .lock()
             .expect("no holder of this lock panics")
     }
 
-    /// Says whether a new session would be refused all of its statements: this gateway has no lease,
-    /// and lately reached no other gateway either.
+    /// Says whether all statements of a new session would be refused: this gateway has no lease,
+    /// and lately reached no other gateway.
     pub fn is_isolated(&self) -> bool {
         let now = self.clock.now();
         !self.view.borrow().may_serve(now) && self.isolation().is_isolated(now)
     }
 
-    /// Says whether that has been so for a time.
+    /// Says whether [`is_isolated`](Self::is_isolated) has held for at least `time`.
     pub fn is_isolated_for(&self, time: Duration) -> bool {
         let now = self.clock.now();
         !self.view.borrow().may_serve(now) && self.isolation().is_isolated_for(now, time)
@@ -523,22 +547,22 @@
     async fn hand_over(
         &self,
         request: &StatementRequest,
-        place: PeerPlace,
+        peer: PeerAddresses,
         limit: Duration,
         relayed: bool,
     ) -> HandOver {
-        match self.send(request.clone(), place, limit, relayed).await {
+        match self.send(request.clone(), peer, limit, relayed).await {
             Ok(reply) if reply.id != request.id => HandOver::ReplyLost,
             Ok(reply) => match reply.verdict {
                 RequestVerdict::NotRun(refusal) if is_misrouted(refusal.cause) => {
                     match refusal.cause {
                         RefusalCause::NoLeaseholder if !relayed => HandOver::NotLeading,
-                        cause => HandOver::NotTaken(cause),
+                        cause => HandOver::NotAccepted(cause),
                     }
                 }
                 _ => HandOver::Replied(reply),
             },
-            Err(LinkError::Unreachable | LinkError::Exhausted) => HandOver::OutOfReach,
+            Err(LinkError::Unreachable | LinkError::Exhausted) => HandOver::Unreachable,
             Err(LinkError::Lost | LinkError::Rejected(_)) => HandOver::ReplyLost,
         }
     }
@@ -546,7 +570,7 @@
     async fn send(
         &self,
         request: StatementRequest,
-        place: PeerPlace,
+        peer: PeerAddresses,
         limit: Duration,
         relayed: bool,
     ) -> Result<StatementReply, LinkError> {
@@ -554,7 +578,7 @@
             true => CallSort::Relay,
             false => CallSort::Execute,
         };
-        if let Some(address) = place.statements {
+        if let Some(address) = peer.statements {
             let links = &self.links.statements;
             return links.call(address, sort, request, limit).await;
         }
@@ -564,21 +588,27 @@
                 CallSort::Relay => client.relay(request).await,
             }
         };
-        self.links.peers.call(place.calls, limit, call).await
+        self.links.peers.call(peer.calls, limit, call).await
     }
 
-    fn find_target(&self, group: &GroupName) -> Option<RouteTarget> {
+    fn find_route(&self, group: &GroupName) -> Option<GroupRoute> {
         let view = self.view.borrow();
         let record: &GroupRecord = view.copy.group(group)?;
-        let place = |vm: &VmName| view.copy.member(vm).map(PeerPlace::from);
-        Some(RouteTarget {
-            leaseholder: place(&record.placement.leaseholder)?,
-            relays: record.placement.standbys.iter().filter_map(place).collect(),
+        let addresses_of = |vm: &VmName| view.copy.member(vm).map(PeerAddresses::from);
+        Some(GroupRoute {
+            leaseholder: addresses_of(&record.placement.leaseholder)?,
+            relays: record
+                .placement
+                .standbys
+                .iter()
+                .filter_map(addresses_of)
+                .collect(),
         })
     }
 
-    /// Notes that a group has no reachable leaseholder and returns when that should be over.
-    fn note_outage(&self, group: &GroupName, leases: f64) -> ClockTime {
+    /// Records that a group has no reachable leaseholder, and returns when the outage should be
+    /// over if a replacement takes `leases` leases.
+    fn record_outage(&self, group: &GroupName, leases: f64) -> ClockTime {
         let mut outages = self.outages.lock().expect("no holder of this lock panics");
         let since = *outages
             .entry(group.clone())
@@ -586,7 +616,7 @@
         since + self.leaseholder_lease(group).mul_f64(leases)
     }
 
-    /// Returns how long the leaseholder of a group may hold its lease when it is lost.
+    /// Returns the length of the lease that a group's leaseholder asks for.
     fn leaseholder_lease(&self, group: &GroupName) -> Duration {
         let view = self.view.borrow();
         let record = view.copy.group(group);
@@ -602,15 +632,15 @@
         outages.remove(group);
     }
 
-    /// Refuses a statement at once; the caller should be back when a takeover can be over.
+    /// Refuses a statement and tells the caller to come back when a takeover can be over.
     fn refuse(&self, request: &StatementRequest, cause: RefusalCause) -> StatementReply {
-        let after = self.return_after(&request.group);
+        let after = self.retry_after_ms(&request.group);
         reply_with(request, RequestVerdict::refused(cause, after))
     }
 
-    /// Returns when a takeover of the group can be over, in milliseconds from now.
-    fn return_after(&self, group: &GroupName) -> u64 {
-        let end = self.note_outage(group, TAKEOVER_LEASES);
+    /// Returns the time until a takeover of the group can be over, in milliseconds.
+    fn retry_after_ms(&self, group: &GroupName) -> u64 {
+        let end = self.record_outage(group, TAKEOVER_LEASES);
         let left = self.clock.until(end).max(self.leaseholder_lease(group) / 4);
         left.as_millis() as u64
     }
@@ -624,8 +654,9 @@
 
 /// Says whether a statement's caller may work under a contract.
 ///
-/// Its gateway has looked its key up. One that wasn't sure to know the newest accounts sends along what
-/// it was shown: without a lease it would go on serving a key that was taken away long ago.
+/// The gateway has checked the caller's key. A gateway without a lease may not know the newest
+/// accounts, so it sends the key's digest along, which is checked here: otherwise such a gateway
+/// would go on serving a key that was revoked long ago.
 pub fn is_caller_taken(
     copy: &CatalogCopy,
     contract: &CustomerContract,
@@ -638,28 +669,29 @@
     }
 }
 
-/// Returns a statement's deadline: the contract's, or the caller's if that is tighter.
+/// Returns the time that a statement may take: the contract's deadline, or the caller's if that is
+/// shorter.
 pub fn find_deadline(terms: &KindTerms, marks: &RequestMarks) -> Duration {
     let asked = marks.deadline_ms.unwrap_or(u64::MAX);
     Duration::from_millis(terms.deadline_ms.min(asked))
 }
 
-/// Returns until when the answer to a statement is worth most, at the leaseholder that took it in
-/// at `arrived`.
+/// Returns the moment by which the leaseholder that received a statement at `arrived` should answer
+/// it to meet the latency target of its kind; `None` if the kind has none.
 pub fn find_target(
     arrived: ClockTime,
     terms: &KindTerms,
     request: &StatementRequest,
 ) -> Option<ClockTime> {
     let target = Duration::from_millis(terms.target_ms?);
-    let spent = Duration::from_millis(request.spent_ms + request.waited_ms) + WAY_BACK;
+    let spent = Duration::from_millis(request.spent_ms + request.waited_ms) + NETWORK_ALLOWANCE;
     Some(arrived + target.saturating_sub(spent))
 }
 
-fn is_untaken(attempt: &HandOver) -> bool {
+fn was_not_handed_over(attempt: &HandOver) -> bool {
     matches!(
         attempt,
-        HandOver::NotTaken(_) | HandOver::NotLeading | HandOver::OutOfReach
+        HandOver::NotAccepted(_) | HandOver::NotLeading | HandOver::Unreachable
     )
 }
 
@@ -667,8 +699,8 @@
     matches!(cause, RefusalCause::NoLease | RefusalCause::NoLeaseholder)
 }
 
-/// Says whether a statement whose reply was lost may be handed over again: it changes nothing, has
-/// the same effect twice, or has a key by which the next leaseholder knows it.
+/// Says whether a statement whose reply was lost may be handed over again: it changes nothing, is
+/// idempotent, or has a request key by which the next leaseholder recognizes it.
 fn is_resendable(request: &StatementRequest, terms: &KindTerms) -> bool {
     request.step == TransactionStep::Single
         && (terms.access == AccessMode::Read
@@ -676,10 +708,11 @@
             || request.marks.key.is_some())
 }
 
-/// A transaction lives on one connection of one leaseholder: it can't move to another.
+/// Refuses a statement within a transaction: the transaction is bound to one connection of one
+/// leaseholder and can't move to another.
 ///
-/// It was not committed, so its statements count as not run.
-fn lose_transaction(request: &StatementRequest) -> Option<StatementReply> {
+/// The transaction was not committed, so its statements count as not run.
+fn refuse_lost_transaction(request: &StatementRequest) -> Option<StatementReply> {
     match request.step {
         TransactionStep::Single | TransactionStep::Begin(_) => None,
         TransactionStep::Within(_) | TransactionStep::Commit(_) | TransactionStep::Rollback(_) => {
@@ -689,9 +722,9 @@
     }
 }
 
-fn doubt(request: &StatementRequest) -> StatementReply {
+fn may_have_run_reply(request: &StatementRequest) -> StatementReply {
     let verdict = match request.step {
-        // Nothing of a transaction lasts before its commit was asked for.
+        // A transaction has no effect before its commit was requested.
         TransactionStep::Begin(_) | TransactionStep::Within(_) | TransactionStep::Rollback(_) => {
             RequestVerdict::refused(RefusalCause::TransactionLost, 0)
         }
@@ -702,11 +735,12 @@
     reply_with(request, verdict)
 }
 
-/// Returns the reply as it may be told to the caller.
+/// Returns the reply that is passed on to the caller.
 ///
-/// A refusal covers only the attempt that it answers. An earlier attempt whose reply was lost can
-/// still be on its way and run, so a refused resend of a write says nothing about the write.
-fn settle_reply(
+/// A refusal covers only the attempt that it answers. An earlier attempt whose reply was lost may
+/// still be on its way and run, so a refused resend of a write doesn't show that the write has not
+/// run.
+fn reply_to_caller(
     request: &StatementRequest,
     reply: StatementReply,
     terms: &KindTerms,
@@ -714,7 +748,7 @@
 ) -> StatementReply {
     let refused = matches!(reply.verdict, RequestVerdict::NotRun(_));
     if refused && sent_before && terms.access == AccessMode::Write {
-        return doubt(request);
+        return may_have_run_reply(request);
     }
     reply
 }
--- a/crates/daemon/src/handover_plans.rs
+++ b/crates/daemon/src/handover_plans.rs
@@ -1,13 +1,8 @@
-//! The handovers that are due at a revision of the catalog, planned once for all groups of a VM.
+//! Plans the handovers that are due at a revision of the catalog, once for all groups of a VM.
 //!
-//! # The load it answers
-//!
-//! A VM leads dozens of groups among hundreds, and VMs come and go: the catalog changes many times a second.
-//!
-//! # Without it
-//!
-//! A plan looks at every group and VM. Made by each group's task, its cost grows with the square of the
-//! number of groups.
+//! A VM leads dozens of groups among hundreds, and as VMs come and go the catalog changes many
+//! times a second. A plan looks at every group and VM: if each group's task made its own, the cost
+//! would grow with the square of the number of groups.
 
 use ragwort_control::CatalogCopy;
 use ragwort_control::plan_approaches;
@@ -19,7 +14,7 @@
 use std::sync::Arc;
 use std::sync::Mutex;
 
-/// The plans of one VM at one revision.
+/// The handovers planned for the groups of one VM at one revision.
 #[derive(Debug, Default)]
 pub struct HandoverPlans {
     due: Vec<GroupPlacement>,
@@ -36,13 +31,14 @@
         }
     }
 
-    /// Returns where a group goes whose VM drains or leads more than its share.
+    /// Returns the placement that a group should get because its VM drains or leads more than its
+    /// share.
     pub fn due(&self, group: &GroupName) -> Option<&GroupPlacement> {
         find_plan(&self.due, group)
     }
 
-    /// Returns where a group goes that is better led elsewhere; `unused` says that it has served nothing
-    /// yet.
+    /// Returns the placement that a group should get because its endpoints are far from its VM;
+    /// `unused` says that it has served nothing yet.
     pub fn nearer(&self, group: &GroupName, unused: bool) -> Option<&GroupPlacement> {
         let plans = match unused {
             true => &self.nearer_while_unused,
@@ -56,7 +52,7 @@
     plans.iter().find(|plan| plan.group == *group)
 }
 
-/// The last plans of this VM; clones share them.
+/// Keeps the latest plans of this VM; clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct HandoverPlanner(Arc<Mutex<Option<PlannedRevision>>>);
 
@@ -67,11 +63,11 @@
 }
 
 impl HandoverPlanner {
-    /// Returns the plans at a copy's revision.
+    /// Returns the plans at a copy's revision, making them if the revision is new.
     ///
     /// # Panics
     ///
-    /// Panics if planning has panicked before.
+    /// Panics if an earlier call has panicked.
     pub fn plan(&self, copy: &CatalogCopy, vm: &VmName) -> Arc<HandoverPlans> {
         let mut last = self.0.lock().expect("no planning panics");
         let revision = copy.revision();
--- a/crates/daemon/src/leaseholders.rs
+++ b/crates/daemon/src/leaseholders.rs
@@ -1,7 +1,8 @@
-//! The manager of this VM's leaseholders: one task per group that is placed here.
+//! Runs one task for each group that is placed on this VM, and keeps what endpoints announce of
+//! themselves.
 //!
-//! The manager also keeps what endpoints announce of themselves. A standby hears the announcements
-//! too, so that it knows the endpoints at once when it takes a group over.
+//! Standbys receive the announcements too, so that a successor knows a group's endpoints at once
+//! when it takes the group over.
 
 use crate::clock::NodeClock;
 use crate::edges::NodeEdges;
@@ -35,23 +36,24 @@
 use tokio::task::JoinHandle;
 use tokio::time::interval;
 
-/// How often announcements that have grown old are dropped.
-const SWEEP_EVERY: Duration = Duration::from_millis(500);
+/// Interval at which expired announcements are dropped.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long an unplaced group's endpoints wait before control is asked to place it, so that the
-/// first placement sees more than the instance that was quickest to announce itself.
-const SETTLE_TIME: Duration = Duration::from_millis(300);
+/// How long after its first announcement an unplaced group waits before control is asked to place
+/// it, so that the first placement sees more than the instance that was quickest to announce
+/// itself.
+const PLACEMENT_DELAY: Duration = Duration::from_millis(300);
 
-/// Statements that may wait to be taken in by one group's task. The task takes them in at once, so
-/// this is passed only when the process itself is starved.
-const GROUP_INBOX: usize = 4_096;
+/// Capacity of the queue of one group's task. The task takes events from it at once, so it fills
+/// only when the process itself is starved.
+const GROUP_QUEUE_CAPACITY: usize = 4_096;
 
-/// What the manager is asked or told.
+/// A request to the manager.
 #[derive(Debug)]
 pub enum LeaseholderEvent {
     /// A statement for a group that should be led here.
     Statement(Box<StatementRequest>, oneshot::Sender<StatementReply>),
-    /// A statement to describe, for a group that should be led here.
+    /// A request to describe a statement, for a group that should be led here.
     Describe(Box<ShapeRequest>, oneshot::Sender<ShapeReply>),
     /// Cancels a statement.
     Cancel(GroupName, StatementId),
@@ -60,17 +62,17 @@
         Box<EndpointAnnouncement>,
         oneshot::Sender<AnnouncementReply>,
     ),
-    /// The state, for operators.
+    /// A request for the state, for operators.
     Dump(oneshot::Sender<serde_json::Value>),
 }
 
-/// What an endpoint last said of itself.
+/// The latest announcement of an endpoint.
 #[derive(Clone, Debug)]
-pub struct HeardAnnouncement {
+pub struct ReceivedAnnouncement {
     /// The announcement.
     pub announcement: EndpointAnnouncement,
-    /// When it arrived.
-    pub heard: ClockTime,
+    /// The time of its arrival.
+    pub received: ClockTime,
 }
 
 struct GroupHandle {
@@ -78,14 +80,14 @@
     task: JoinHandle<()>,
 }
 
-/// The manager's task.
+/// Runs the tasks of this VM's groups.
 pub struct LeaseholderManager {
     context: Arc<GroupContext>,
     clock: NodeClock,
     view: watch::Receiver<MemberView>,
     unplaced: watch::Sender<Vec<GroupName>>,
-    heard: BTreeMap<GroupName, BTreeMap<InstanceName, HeardAnnouncement>>,
-    first_heard: BTreeMap<GroupName, ClockTime>,
+    announcements: BTreeMap<GroupName, BTreeMap<InstanceName, ReceivedAnnouncement>>,
+    first_announced: BTreeMap<GroupName, ClockTime>,
     groups: BTreeMap<GroupName, GroupHandle>,
     placements: BTreeMap<GroupName, GroupPlacement>,
     edges: NodeEdges,
@@ -104,32 +106,32 @@
             context,
             view,
             unplaced,
-            heard: BTreeMap::new(),
-            first_heard: BTreeMap::new(),
+            announcements: BTreeMap::new(),
+            first_announced: BTreeMap::new(),
             groups: BTreeMap::new(),
             placements: BTreeMap::new(),
             edges,
         }
     }
 
-    /// Runs until told to stop; then ends and joins the groups' tasks.
+    /// Runs until `stop` is set; then ends and joins the groups' tasks.
     pub async fn run(
         mut self,
         mut events: mpsc::Receiver<LeaseholderEvent>,
         mut stop: watch::Receiver<bool>,
     ) {
-        let mut sweep = interval(SWEEP_EVERY);
+        let mut sweep = interval(SWEEP_INTERVAL);
         loop {
             tokio::select! {
                 event = events.recv() => match event {
-                    Some(event) => self.take_event(event).await,
+                    Some(event) => self.handle_event(event).await,
                     None => break,
                 },
                 changed = self.view.changed() => {
                     if changed.is_err() {
                         break;
                     }
-                    self.follow_view().await;
+                    self.start_placed_groups().await;
                 }
                 _ = sweep.tick() => self.sweep(),
                 changed = stop.changed() => {
@@ -146,17 +148,16 @@
         }
     }
 
-    /// Closes the manager's own queue and refuses what waits in it.
+    /// Closes the manager's queue and refuses the requests that are left in it.
     ///
-    /// A statement that is dropped with the queue has no reply, so that its caller would be told that it
-    /// may have run.
+    /// A statement that is dropped without a reply counts as one that may have run.
     async fn refuse_queue(&self, queue: &mut mpsc::Receiver<LeaseholderEvent>) {
         queue.close();
         while let Some(event) = queue.recv().await {
             match event {
                 LeaseholderEvent::Statement(request, reply) => refuse_statement(&request, reply),
                 LeaseholderEvent::Describe(request, reply) => refuse_shape(&request, reply),
-                // Who asked for these is told by the missing answer.
+                // The sender learns from the dropped reply channel that the daemon is stopping.
                 LeaseholderEvent::Cancel(_, _)
                 | LeaseholderEvent::Announce(_, _)
                 | LeaseholderEvent::Dump(_) => {}
@@ -164,17 +165,17 @@
         }
     }
 
-    async fn take_event(&mut self, event: LeaseholderEvent) {
+    async fn handle_event(&mut self, event: LeaseholderEvent) {
         match event {
-            LeaseholderEvent::Statement(request, reply) => self.take_statement(request, reply),
-            LeaseholderEvent::Describe(request, reply) => self.take_describe(request, reply),
+            LeaseholderEvent::Statement(request, reply) => self.handle_statement(request, reply),
+            LeaseholderEvent::Describe(request, reply) => self.handle_describe(request, reply),
             LeaseholderEvent::Cancel(group, id) => {
                 if let Some(handle) = self.groups.get(&group) {
                     let _ = handle.inbox.try_send(GroupEvent::Cancel(id));
                 }
             }
             LeaseholderEvent::Announce(announcement, reply) => {
-                let _ = reply.send(self.take_announcement(*announcement));
+                let _ = reply.send(self.handle_announcement(*announcement));
             }
             LeaseholderEvent::Dump(reply) => {
                 let _ = reply.send(self.dump().await);
@@ -182,7 +183,7 @@
         }
     }
 
-    fn take_statement(
+    fn handle_statement(
         &mut self,
         request: Box<StatementRequest>,
         reply: oneshot::Sender<StatementReply>,
@@ -198,49 +199,50 @@
         }
     }
 
-    /// Passes a description on; dropping its `reply` tells the asker that nobody took it.
-    fn take_describe(&mut self, request: Box<ShapeRequest>, reply: oneshot::Sender<ShapeReply>) {
+    /// Passes a describe request to its group's task. A dropped `reply` tells the sender that
+    /// nobody accepted it.
+    fn handle_describe(&mut self, request: Box<ShapeRequest>, reply: oneshot::Sender<ShapeReply>) {
         if let Some(handle) = self.groups.get(&request.group) {
             let _ = handle.inbox.try_send(GroupEvent::Describe(request, reply));
         }
     }
 
-    fn take_announcement(&mut self, announcement: EndpointAnnouncement) -> AnnouncementReply {
+    fn handle_announcement(&mut self, announcement: EndpointAnnouncement) -> AnnouncementReply {
         let now = self.clock.now();
         let group = announcement.group.clone();
-        // One that was delayed on its way would bring back a role or a state that is over.
-        if self.is_overtaken(&announcement) {
+        // A delayed announcement would restore an outdated role or state.
+        if self.is_stale(&announcement) {
             let view = self.view.borrow();
             let record = view.copy.group(&group);
             return record.map_or_else(AnnouncementReply::default, |record| {
-                self.direct_announcer(&view, record)
+                self.announcement_reply(&view, record)
             });
         }
-        self.first_heard.entry(group.clone()).or_insert(now);
+        self.first_announced.entry(group.clone()).or_insert(now);
         if let Some(handle) = self.groups.get(&group) {
             let event = GroupEvent::Announced(Box::new(announcement.clone()));
             let _ = handle.inbox.try_send(event);
         }
-        let instances = self.heard.entry(group.clone()).or_default();
-        let heard = HeardAnnouncement {
+        let instances = self.announcements.entry(group.clone()).or_default();
+        let received = ReceivedAnnouncement {
             announcement,
-            heard: now,
+            received: now,
         };
-        instances.insert(heard.announcement.instance.clone(), heard);
+        instances.insert(received.announcement.instance.clone(), received);
         let view = self.view.borrow();
         match view.copy.group(&group) {
-            Some(record) => self.direct_announcer(&view, record),
+            Some(record) => self.announcement_reply(&view, record),
             None => AnnouncementReply::default(),
         }
     }
 
-    fn is_overtaken(&self, announcement: &EndpointAnnouncement) -> bool {
-        let instances = self.heard.get(&announcement.group);
+    fn is_stale(&self, announcement: &EndpointAnnouncement) -> bool {
+        let instances = self.announcements.get(&announcement.group);
         let known = instances.and_then(|instances| instances.get(&announcement.instance));
         known.is_some_and(|known| announcement.is_before(&known.announcement))
     }
 
-    fn direct_announcer(&self, view: &MemberView, record: &GroupRecord) -> AnnouncementReply {
+    fn announcement_reply(&self, view: &MemberView, record: &GroupRecord) -> AnnouncementReply {
         let leaseholder = std::iter::once(&record.placement.leaseholder);
         let vms = leaseholder.chain(&record.placement.standbys);
         let members = vms.filter_map(|vm| view.copy.member(vm));
@@ -250,28 +252,30 @@
         }
     }
 
-    /// Drops what has not been heard for long and lists the groups that want a placement.
+    /// Drops expired announcements and publishes the groups that need a placement.
     fn sweep(&mut self) {
         let now = self.clock.now();
-        let lost = Duration::from_millis(self.context.settings.timing.announce_lost_ms);
-        for instances in self.heard.values_mut() {
-            instances.retain(|_, one| now.since(one.heard) < lost);
+        let expiry = Duration::from_millis(self.context.settings.timing.announce_lost_ms);
+        for instances in self.announcements.values_mut() {
+            instances.retain(|_, one| now.since(one.received) < expiry);
         }
-        self.heard.retain(|_, instances| !instances.is_empty());
-        self.first_heard
-            .retain(|group, _| self.heard.contains_key(group));
+        self.announcements
+            .retain(|_, instances| !instances.is_empty());
+        self.first_announced
+            .retain(|group, _| self.announcements.contains_key(group));
         let view = self.view.borrow();
-        // Anybody can announce an endpoint of a group that nobody has a contract for.
-        let is_named = |group: &GroupName| {
+        // Anyone can announce an endpoint, also of a group that no contract or document names.
+        let is_configured = |group: &GroupName| {
             let mut contracts = view.copy.contracts();
             view.copy.group_terms(group).is_some()
                 || contracts.any(|held| held.contract.groups.contains(group))
         };
-        let settled = self.first_heard.iter().filter(|(group, first)| {
-            let unplaced = now.since(**first) >= SETTLE_TIME && view.copy.group(group).is_none();
-            unplaced && is_named(group)
+        let due = self.first_announced.iter().filter(|(group, first)| {
+            let unplaced =
+                now.since(**first) >= PLACEMENT_DELAY && view.copy.group(group).is_none();
+            unplaced && is_configured(group)
         });
-        let unplaced: Vec<GroupName> = settled.map(|(group, _)| group.clone()).collect();
+        let unplaced: Vec<GroupName> = due.map(|(group, _)| group.clone()).collect();
         drop(view);
         self.unplaced.send_if_modified(|known| {
             let changed = *known != unplaced;
@@ -280,8 +284,9 @@
         });
     }
 
-    /// Starts a task for each group placed here; a task ends by itself when its group moves away.
-    async fn follow_view(&mut self) {
+    /// Starts a task for each group that was placed here, and joins the tasks that have ended. A
+    /// task ends by itself when its group moves away.
+    async fn start_placed_groups(&mut self) {
         let ended = self
             .groups
             .extract_if(.., |_, handle| handle.task.is_finished());
@@ -305,9 +310,14 @@
                 group = group,
                 epoch = record.placement.epoch,
             );
-            let (inbox, events) = mpsc::channel(GROUP_INBOX);
-            for heard in self.heard.get(group).into_iter().flat_map(BTreeMap::values) {
-                let announcement = Box::new(heard.announcement.clone());
+            let (inbox, events) = mpsc::channel(GROUP_QUEUE_CAPACITY);
+            for received in self
+                .announcements
+                .get(group)
+                .into_iter()
+                .flat_map(BTreeMap::values)
+            {
+                let announcement = Box::new(received.announcement.clone());
                 let _ = inbox.try_send(GroupEvent::Announced(announcement));
             }
             let context = Arc::clone(&self.context);
@@ -340,13 +350,13 @@
                 groups.insert(group.to_string(), state);
             }
         }
-        let heard = self.heard.iter().map(|(group, instances)| {
+        let announced = self.announcements.iter().map(|(group, instances)| {
             let names: Vec<_> = instances.keys().map(ToString::to_string).collect();
             (group.to_string(), serde_json::json!(names))
         });
         serde_json::json!({
             "led": groups,
-            "announced": heard.collect::<serde_json::Map<_, _>>(),
+            "announced": announced.collect::<serde_json::Map<_, _>>(),
         })
     }
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,23 +1,26 @@
 //! The daemon of ragwortgate: gateway, leaseholder and control roles in one process.
 //!
-//! A statement's way through the modules:
+//! A statement passes through these modules:
 //!
-//! 1. [`callers`] takes it from a caller by PostgreSQL's protocol and hands it to [`service`], which
-//!    checks the gateway's own limits.
-//! 2. [`gateway`] finds the leaseholder of its database group in what [`member`] knows, and brings it
-//!    there over [`statements`], or over [`peers`] where those aren't set up. [`server`] answers such calls and passes them to [`leaseholders`].
-//! 3. [`group`] is the leaseholder: contract, request key, queue, endpoint [`connection`], majority,
-//!    journal, and the verdict back.
+//! 1. [`callers`] reads it from a caller's connection by PostgreSQL's protocol and passes it to
+//!    [`service`], which enforces this gateway's own limits.
+//! 2. [`gateway`] looks up the leaseholder of its database group in the catalog copy of [`member`]
+//!    and forwards it over [`statements`], or over [`peers`] if the leaseholder has no address for
+//!    statements. [`server`] answers such calls and passes them to [`leaseholders`].
+//! 3. [`group`] is the leaseholder: it checks the contract and the request key, queues the
+//!    statement, runs it on an endpoint [`connection`], waits for the majority and the journal, and
+//!    returns the verdict.
 //!
-//! Where databases keep terms of their own, [`sessions`] and `native` stand in for [`callers`] and
-//! [`group`], and the bytes are a matter of the [`edges`].
+//! For databases that keep terms of their own, [`sessions`] and `native` take the place of
+//! [`callers`] and [`group`], and [`edges`] supplies the wire formats.
 //!
-//! [`control`] drives the agreed log on the VMs that have a [`disk`]; [`standby`] holds journals for
-//! other leaseholders. [`node`] starts all tasks and joins them at the end.
+//! [`control`] runs the replicated log on the control VMs, which store it through [`disk`];
+//! [`standby`] holds journals for leaseholders on other VMs. [`node`] starts all tasks and joins
+//! them at shutdown.
 //!
 //! # Examples
 //!
-//! Everything starts from [`settings`], which name every fault at once:
+//! Everything starts from [`settings`], which report all faults of a file at once:
 //!
 //! ```
 //! use ragwortgated::settings::DaemonSettings;
@@ -33,7 +36,6 @@
 pub mod connection;
 pub mod control;
 pub mod descriptors;
-mod detours;
 pub mod directory;
 pub mod disk;
 pub mod dump;
@@ -53,6 +55,7 @@
 pub mod platform;
 mod proposer;
 pub mod readiness;
+mod relay_gateways;
 pub mod server;
 pub mod service;
 pub mod sessions;
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -1,8 +1,9 @@
-//! Accounts' limits on this VM: lets operations begin, asks the ledgers, and keeps those of the groups
-//! that are led here.
+//! Applies account limits on this VM: admits operations, borrows shares of limits from their
+//! ledgers, and keeps the ledgers of the groups that are led here.
 //!
-//! What is decided stands in `ragwort_policy`. A group is found for each account by a digest, so that all
-//! VMs agree where its ledger is kept; most operations begin without a question.
+//! The shares and ledgers themselves are in `ragwort_policy`. The ledger of an account is kept by
+//! the leaseholder of one group, which all VMs find by rendezvous hashing of the names of account
+//! and groups. Most operations begin without a call.
 
 use crate::clock::NodeClock;
 use crate::log_event;
@@ -47,24 +48,25 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// How often it is looked which shares are to be renewed.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// Interval at which shares are checked for renewal, and the pause before a declaration that failed
+/// is repeated.
+const RENEWAL_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long a ledger may take to answer. It answers within a round trip; a caller whose operation waits
-/// for it has some hundred milliseconds.
-const ANSWER_LIMIT: Duration = Duration::from_millis(200);
+/// Time limit for a call to a ledger. A ledger answers within a round trip; the caller whose
+/// operation waits for it has a few hundred milliseconds.
+const LEDGER_CALL_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Spreads the weights of groups for an account: an odd number without a pattern in its bits. All VMs must
-/// have the same.
-const WEIGHT_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Multiplier that mixes the hashes of an account and a group into the group's weight: an odd
+/// number without a pattern in its bits. All VMs must use the same value.
+const WEIGHT_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The accounts' limits, as this VM applies them.
+/// Applies the limits of accounts on this VM.
 pub struct AccountLimiter {
     clock: NodeClock,
-    /// When this process started.
+    /// The start time of this process.
     started: ClockTime,
     id: MemberId,
-    /// Its own links: a question that is given up on closes its link.
+    /// Separate links, because a call that runs out of time closes its link.
     links: PeerLinks,
     view: watch::Receiver<MemberView>,
     tolerance: LimitTolerance,
@@ -77,22 +79,23 @@
     shares: LimitShares,
     book: LedgerBook,
     waiting: HashMap<AccountName, VecDeque<oneshot::Sender<bool>>>,
-    /// The leaseholders that were told what is held of the accounts whose ledgers they keep.
-    told: BTreeMap<GroupName, LedgerPlace>,
-    /// The VMs that owe an answer.
-    asked: BTreeSet<VmName>,
-    /// The VMs that took no declaration lately, and when to declare to them again.
+    /// The leaseholders to which this VM has declared its shares of the accounts whose ledgers they
+    /// keep.
+    declared_to: BTreeMap<GroupName, LedgerKeeper>,
+    /// The VMs with a call in flight.
+    in_flight: BTreeSet<VmName>,
+    /// The VMs that did not accept a declaration, with the time of the next attempt.
     declare_after: BTreeMap<VmName, ClockTime>,
 }
 
-/// Who keeps the ledgers of a group's accounts.
+/// The leaseholder that keeps the ledgers of a group's accounts, with the epoch of its placement.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct LedgerPlace {
+struct LedgerKeeper {
     vm: VmName,
     epoch: PlacementEpoch,
 }
 
-impl From<&GroupRecord> for LedgerPlace {
+impl From<&GroupRecord> for LedgerKeeper {
     fn from(record: &GroupRecord) -> Self {
         Self {
             vm: record.placement.leaseholder.clone(),
@@ -101,7 +104,7 @@
     }
 }
 
-/// A question to one VM, and what came of it.
+/// A call to a VM that keeps ledgers, and its reply, if any.
 struct LedgerCall {
     vm: VmName,
     sent: ClockTime,
@@ -139,11 +142,11 @@
         self.state.lock().expect("no holder of this lock panics")
     }
 
-    /// Lets an operation of an account begin.
+    /// Admits one operation of an account, waiting for a larger share if necessary.
     ///
     /// # Errors
     ///
-    /// Returns when to come back if the account has begun as many as it may.
+    /// Returns a refusal, with the time to come back, if the account has used up its limit.
     pub async fn begin(&self, account: &AccountName) -> Result<(), Refusal> {
         let Some(limit) = self.find_limit(account) else {
             return Ok(());
@@ -161,14 +164,14 @@
             }
         };
         self.wake.notify_one();
-        // Without an answer this VM is stopping.
+        // The channel is dropped without an answer when this VM stops.
         match answer.await.unwrap_or(false) {
             true => Ok(()),
             false => Err(self.refuse(account, limit)),
         }
     }
 
-    /// Gives an operation back that has not reached an endpoint.
+    /// Returns an operation that has not reached an endpoint to the account's share.
     pub fn give_back(&self, account: &AccountName) {
         self.state().shares.give_back(self.clock.now(), account);
     }
@@ -199,11 +202,11 @@
         }
     }
 
-    /// Answers what another VM asks of the ledgers that are kept here.
+    /// Answers a request of another VM to the ledgers that are kept here.
     pub fn lend(&self, request: &LimitRequest) -> LimitReply {
         let view = self.view.borrow().clone();
         let now = self.clock.now();
-        // A successor may keep the ledgers by now.
+        // Without a lease, a successor may keep the ledgers by now.
         if !view.may_serve(now) {
             return LimitReply::default();
         }
@@ -219,17 +222,17 @@
             .collect()
     }
 
-    /// Asks the ledgers until told to stop; all that wait then are refused.
+    /// Borrows from the ledgers until `stop` is set; then refuses all operations that wait.
     pub async fn run(self: Arc<Self>, mut stop: watch::Receiver<bool>) {
         let mut view = self.view.clone();
         let mut calls = JoinSet::new();
         loop {
             tokio::select! {
                 () = self.wake.notified() => {}
-                () = sleep(LOOK_EVERY) => {}
+                () = sleep(RENEWAL_CHECK_INTERVAL) => {}
                 Some(done) = calls.join_next(), if !calls.is_empty() => {
                     if let Ok(call) = done {
-                        self.take_call(call);
+                        self.finish_call(call);
                     }
                 }
                 changed = view.changed() => if changed.is_err() {
@@ -244,7 +247,7 @@
         self.state().waiting.clear();
     }
 
-    /// Asks what is due, at most one question to a VM at a time.
+    /// Sends the requests that are due, with at most one call in flight to each VM.
     fn ask_ledgers(&self, calls: &mut JoinSet<LedgerCall>) {
         let view = self.view.borrow().clone();
         let now = self.clock.now();
@@ -253,15 +256,15 @@
         if accounts.all(|terms| terms.limit.is_none()) && state.waiting.is_empty() {
             return;
         }
-        let homes = LedgerHomes::new(&view.copy);
+        let locator = LedgerLocator::new(&view.copy);
         let holders = list_holders(&view.copy);
         state.shares.set_holders(self.tolerance, holders.len());
         let mut requests = BTreeMap::new();
-        let homeless = self.request_needs(&mut state, now, &homes, &mut requests);
-        self.declare_held(&mut state, now, &homes, &mut requests);
-        for account in homeless {
+        let without_keeper = self.request_needs(&mut state, now, &locator, &mut requests);
+        self.declare_held(&mut state, now, &locator, &mut requests);
+        for account in without_keeper {
             let end = state.shares.give_up(now, &account);
-            state.answer_waiting(now, &account, end);
+            state.resolve_waiting(now, &account, end);
         }
         for (vm, request) in requests {
             let call = LedgerCall {
@@ -270,54 +273,56 @@
                 request,
                 reply: None,
             };
-            self.make_call(&mut state, &view, call, calls);
+            self.send_request(&mut state, &view, call, calls);
         }
     }
 
-    /// Writes down what is to be asked for, by the VM that keeps the ledger. Returns the accounts whose
-    /// ledgers nobody keeps.
+    /// Adds the due needs to the requests of the VMs that keep the ledgers. Returns the accounts
+    /// whose ledgers no VM keeps.
     fn request_needs(
         &self,
         state: &mut LimiterState,
         now: ClockTime,
-        homes: &LedgerHomes<'_>,
+        locator: &LedgerLocator<'_>,
         requests: &mut BTreeMap<VmName, LimitRequest>,
     ) -> Vec<AccountName> {
-        let LimiterState { shares, asked, .. } = state;
+        let LimiterState {
+            shares, in_flight, ..
+        } = state;
         let needs = shares.due_needs(now, |account| {
-            homes
+            locator
                 .find_keeper(account)
-                .is_none_or(|vm| !asked.contains(vm))
+                .is_none_or(|vm| !in_flight.contains(vm))
         });
-        let mut homeless = Vec::new();
+        let mut without_keeper = Vec::new();
         for need in needs {
-            match homes.find_keeper(&need.account).cloned() {
-                Some(vm) => self.request_to(requests, vm).accounts.push(need),
-                None => homeless.push(need.account),
+            match locator.find_keeper(&need.account).cloned() {
+                Some(vm) => self.request_for(requests, vm).accounts.push(need),
+                None => without_keeper.push(need.account),
             }
         }
-        homeless
+        without_keeper
     }
 
-    /// Writes down what is held of the accounts whose ledgers have come to another VM.
+    /// Declares this VM's shares to the VMs to which ledgers have moved.
     fn declare_held(
         &self,
         state: &mut LimiterState,
         now: ClockTime,
-        homes: &LedgerHomes<'_>,
+        locator: &LedgerLocator<'_>,
         requests: &mut BTreeMap<VmName, LimitRequest>,
     ) {
         state.declare_after.retain(|_, after| now < *after);
-        for (group, record) in &homes.records {
-            let place = LedgerPlace::from(*record);
-            let waits =
-                state.asked.contains(&place.vm) || state.declare_after.contains_key(&place.vm);
-            if waits || state.told.get(*group) == Some(&place) {
+        for (group, record) in &locator.records {
+            let keeper = LedgerKeeper::from(*record);
+            let waits = state.in_flight.contains(&keeper.vm)
+                || state.declare_after.contains_key(&keeper.vm);
+            if waits || state.declared_to.get(*group) == Some(&keeper) {
                 continue;
             }
-            let is_home = |account: &AccountName| homes.find(account) == Some(*group);
-            let held = state.shares.list_held(now, is_home);
-            let request = self.request_to(requests, place.vm.clone());
+            let keeps_ledger = |account: &AccountName| locator.find(account) == Some(*group);
+            let held = state.shares.list_held(now, keeps_ledger);
+            let request = self.request_for(requests, keeper.vm.clone());
             for need in held {
                 if request
                     .accounts
@@ -328,14 +333,16 @@
                 }
             }
             request.declared.push((*group).clone());
-            state.told.insert((*group).clone(), place);
+            state.declared_to.insert((*group).clone(), keeper);
         }
-        let records = &homes.records;
-        state.told.retain(|group, _| records.contains_key(group));
+        let records = &locator.records;
+        state
+            .declared_to
+            .retain(|group, _| records.contains_key(group));
     }
 
-    /// Asks the VM that keeps the ledgers: over a link, or at once if it is this one.
-    fn make_call(
+    /// Sends a request to the VM that keeps the ledgers, or answers it directly if that is this VM.
+    fn send_request(
         &self,
         state: &mut LimiterState,
         view: &MemberView,
@@ -349,23 +356,23 @@
                 state.book.follow_homes(now, &led);
                 lend_from(&mut state.book, now, &view.copy, &call.request)
             });
-            return state.take_reply(now, call);
+            return state.apply_reply(now, call);
         }
         let Some(member) = view.copy.member(&call.vm) else {
-            return state.take_reply(now, call);
+            return state.apply_reply(now, call);
         };
-        state.asked.insert(call.vm.clone());
+        state.in_flight.insert(call.vm.clone());
         let links = self.links.clone();
         let address = member.peer_address;
         let sent = call.request.clone();
         calls.spawn(async move {
             let ask = |client: Arc<WsClient>| async move { client.lend_limits(sent).await };
-            call.reply = links.call(address, ANSWER_LIMIT, ask).await.ok();
+            call.reply = links.call(address, LEDGER_CALL_TIMEOUT, ask).await.ok();
             call
         });
     }
 
-    fn request_to<'r>(
+    fn request_for<'r>(
         &self,
         requests: &'r mut BTreeMap<VmName, LimitRequest>,
         vm: VmName,
@@ -378,15 +385,15 @@
         })
     }
 
-    fn take_call(&self, call: LedgerCall) {
+    fn finish_call(&self, call: LedgerCall) {
         let mut state = self.state();
-        state.asked.remove(&call.vm);
-        state.take_reply(self.clock.now(), call);
+        state.in_flight.remove(&call.vm);
+        state.apply_reply(self.clock.now(), call);
     }
 }
 
 impl LimiterState {
-    fn take_reply(&mut self, now: ClockTime, call: LedgerCall) {
+    fn apply_reply(&mut self, now: ClockTime, call: LedgerCall) {
         let LedgerCall {
             vm,
             sent,
@@ -395,12 +402,13 @@
         } = call;
         let silent = reply.is_none();
         let LimitReply { grants, declared } = reply.unwrap_or_default();
-        // What wasn't taken, or may not have arrived, is declared again: the ledger lends next to nothing
-        // until it knows what all VMs hold.
-        let untaken = request.declared.iter();
-        for group in untaken.filter(|group| !declared.contains(group)) {
-            self.told.remove(group);
-            self.declare_after.insert(vm.clone(), now + LOOK_EVERY);
+        // Declarations that were not accepted, or may not have arrived, are repeated: a ledger
+        // lends next to nothing until it knows the shares of all VMs.
+        let requested = request.declared.iter();
+        for group in requested.filter(|group| !declared.contains(group)) {
+            self.declared_to.remove(group);
+            self.declare_after
+                .insert(vm.clone(), now + RENEWAL_CHECK_INTERVAL);
         }
         if silent {
             log_event!(
@@ -420,11 +428,11 @@
                 Some(grant) => self.shares.take_grant(now, sent, grant),
                 None => self.shares.give_up(now, account),
             };
-            self.answer_waiting(now, account, end);
+            self.resolve_waiting(now, account, end);
         }
     }
 
-    fn answer_waiting(&mut self, now: ClockTime, account: &AccountName, end: WaitersEnd) {
+    fn resolve_waiting(&mut self, now: ClockTime, account: &AccountName, end: WaitersEnd) {
         let Some(waiting) = self.waiting.get_mut(account) else {
             return;
         };
@@ -449,7 +457,7 @@
     copy: &CatalogCopy,
     request: &LimitRequest,
 ) -> LimitReply {
-    let homes = LedgerHomes::new(copy);
+    let locator = LedgerLocator::new(copy);
     let holders = list_holders(copy);
     let started = now.before(Duration::from_millis(request.age_ms));
     let lent = request.accounts.iter().filter_map(|need| {
@@ -457,7 +465,7 @@
         let question = LedgerQuestion {
             holder: &request.holder.vm,
             started,
-            home: homes.find(&need.account)?,
+            home: locator.find(&need.account)?,
             limit,
             holders: &holders,
         };
@@ -472,20 +480,20 @@
     }
 }
 
-/// Lists the VMs that may lead groups, and so hold something of accounts' limits.
+/// Lists the VMs that may lead groups, and so may hold shares of accounts' limits.
 fn list_holders(copy: &CatalogCopy) -> Vec<VmName> {
     let members = copy.members().filter(|member| member.traits.leaseholder);
     members.map(|member| member.id.vm.clone()).collect()
 }
 
-/// Finds for each account the group whose leaseholder keeps its ledger. Where a group comes or goes, only
-/// the accounts that it takes or leaves change their place.
-struct LedgerHomes<'a> {
+/// Finds the group whose leaseholder keeps an account's ledger, by rendezvous hashing. When a group
+/// is added or removed, only the accounts that it takes or leaves change their keeper.
+struct LedgerLocator<'a> {
     records: BTreeMap<&'a GroupName, &'a GroupRecord>,
     digests: Vec<(&'a GroupName, u64)>,
 }
 
-impl<'a> LedgerHomes<'a> {
+impl<'a> LedgerLocator<'a> {
     fn new(copy: &'a CatalogCopy) -> Self {
         let records = copy.groups();
         let records: BTreeMap<_, _> = records
@@ -501,7 +509,7 @@
 
     fn find(&self, account: &AccountName) -> Option<&'a GroupName> {
         let own = digest_text(account.as_str());
-        let weight = |digest: u64| (own ^ digest).wrapping_mul(WEIGHT_FACTOR);
+        let weight = |digest: u64| (own ^ digest).wrapping_mul(WEIGHT_MULTIPLIER);
         let digests = self.digests.iter();
         digests
             .max_by_key(|(group, digest)| (weight(*digest), *group))
--- a/crates/daemon/src/logs.rs
+++ b/crates/daemon/src/logs.rs
@@ -1,8 +1,8 @@
-//! The log: one line of key=value pairs for each event, on standard output.
+//! The daemon's log: one line of key=value pairs for each event, on standard output or in a file.
 //!
-//! Lines of libraries are left out, because they don't have this form. Writing never blocks: lines
-//! wait in a bounded buffer for a thread of its own, and those that find it full are dropped and
-//! counted.
+//! Lines of libraries are left out, because they don't have this form. Writing to standard output
+//! never blocks: lines wait in a bounded queue for a writer thread, and those that find it full are
+//! dropped and counted.
 
 use crate::log_event;
 use crate::settings::LogSettings;
@@ -26,22 +26,22 @@
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
-/// Lines that may wait to be written. At 200 bytes a line that is under one megabyte.
-const WAITING_LINES: usize = 4_096;
+/// Capacity of the queue, in lines. At 200 bytes a line that is under one megabyte.
+const QUEUE_CAPACITY_LINES: usize = 4_096;
 
-/// The most bytes that are put together for one write. A write for each line would cost a system
-/// call each.
-const WRITE_BYTES: usize = 64 * 1024;
+/// The size at which collected lines are written, in bytes. A write for each line would cost one
+/// system call each.
+const WRITE_SIZE_BYTES: usize = 64 * 1024;
 
 /// The target of the daemon's own lines.
 pub const LOG_TARGET: &str = "ragwortgated";
 
-/// Why the log could not be set up.
+/// The reason why the log could not be set up.
 #[derive(Debug)]
 pub enum LogFault {
     /// The log file can't be opened for appending.
     File(io::Error),
-    /// The process has a log already.
+    /// The process already has a log.
     AlreadySet(SetLoggerError),
 }
 
@@ -76,10 +76,10 @@
     set.map_err(LogFault::AlreadySet)
 }
 
-/// Lines on their way to a writer that may be slow.
+/// Passes lines to a writer that may be slow.
 ///
-/// Whoever reads the daemon's standard output can stop reading. A blocking write would then stop
-/// the daemon: callers would see requests hang for a reason that is none of theirs.
+/// The reader of the daemon's standard output may stop reading. A blocking write would then stop
+/// the daemon, and callers' requests would hang.
 pub struct LogPipe {
     lines: mpsc::SyncSender<Vec<u8>>,
     dropped: Arc<AtomicU64>,
@@ -87,9 +87,9 @@
 }
 
 impl LogPipe {
-    /// Starts the thread that writes. It ends with the process, as the log does.
+    /// Starts the writer thread, which ends with the process.
     pub fn start(output: impl io::Write + Send + 'static) -> Self {
-        let (lines, queue) = mpsc::sync_channel(WAITING_LINES);
+        let (lines, queue) = mpsc::sync_channel(QUEUE_CAPACITY_LINES);
         let dropped = Arc::new(AtomicU64::new(0));
         let counter = Arc::clone(&dropped);
         thread::spawn(move || write_lines(output, &queue, &counter));
@@ -119,7 +119,7 @@
     let mut text = Vec::new();
     while let Ok(line) = queue.recv() {
         text.extend_from_slice(&line);
-        while text.len() < WRITE_BYTES
+        while text.len() < WRITE_SIZE_BYTES
             && let Ok(line) = queue.try_recv()
         {
             text.extend_from_slice(&line);
@@ -130,17 +130,17 @@
             text.extend_from_slice(line.as_str().as_bytes());
             text.push(b'\n');
         }
-        // There is no place left to report that the log itself can't be written.
+        // A failure to write the log can't be reported anywhere.
         let _ = output.write_all(&text);
         let _ = output.flush();
         text.clear();
     }
 }
 
-/// Makes panics write one line of the log in place of the language's own report.
+/// Installs a panic hook that writes one line to the log in place of the default report.
 ///
-/// A caller with malformed messages can make the codec panic; each such panic is caught, but would
-/// otherwise write many lines to standard error.
+/// A malformed message from a caller can make the codec panic. Each such panic is caught, but the
+/// default report would write many lines to standard error.
 pub fn log_panics() {
     panic::set_hook(Box::new(|panic| {
         let place = panic
@@ -152,8 +152,8 @@
     }));
 }
 
-/// Returns a configuration that writes nothing before the line itself, which carries its own time
-/// and level as pairs.
+/// Returns a logger configuration that adds nothing to a line, which carries its own time and level
+/// as pairs.
 fn line_config() -> Config {
     ConfigBuilder::new()
         .set_max_level(LevelFilter::Off)
@@ -186,7 +186,7 @@
     };
 }
 
-/// One line of the log while it is put together; [`log_event!`](crate::log_event) uses it.
+/// One line of the log under construction; [`log_event!`](crate::log_event) uses it.
 #[derive(Debug)]
 pub struct EventLine {
     text: String,
@@ -205,10 +205,10 @@
             .with("event", &event)
     }
 
-    /// Adds a pair; a value with spaces, quotes or line breaks is quoted.
+    /// Adds a key and a value; a value with spaces, quotes or line breaks is quoted.
     pub fn with(mut self, key: &str, value: &dyn fmt::Display) -> Self {
         let value = value.to_string();
-        // A caller's text in a value could otherwise end the line and forge an event of its own.
+        // Otherwise a caller's text in a value could end the line and forge an event.
         let plain = |letter: char| letter.is_ascii_graphic() && !matches!(letter, '"' | '=');
         let written = if !value.is_empty() && value.chars().all(plain) {
             write!(self.text, " {key}={value}")
--- a/crates/daemon/src/member.rs
+++ b/crates/daemon/src/member.rs
@@ -1,8 +1,8 @@
-//! Membership: keeps this VM's lease alive and its copy of the catalog up to date.
+//! Membership: renews this VM's lease and keeps its catalog copy up to date.
 //!
-//! One task sends heartbeats to one control VM and moves on to another when it gets no grant. The
-//! lease counts from the moment a heartbeat was *sent*, so this VM always believes its lease to be
-//! shorter than control does.
+//! One task sends heartbeats to one control VM and turns to the others when it gets no grant. The
+//! lease counts from the moment at which the heartbeat was *sent*, so this VM always believes its
+//! lease to be shorter than control does.
 
 use crate::catalog_fetch::CatalogFetch;
 use crate::catalog_fetch::FetchContext;
@@ -43,44 +43,45 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
-/// How many control VMs can be asked in vain before the lease is over. One that has lost power
-/// answers nothing at all, not even that nobody listens.
+/// How many control VMs can be tried in vain before the lease ends; each call may take this part of
+/// the lease. A VM that has lost power doesn't answer at all, not even with a refused connection.
 const ATTEMPTS_IN_LEASE: u32 = 3;
 
-/// How long a VM without a lease waits for one control VM before it asks the next one as well: several
-/// times the round trip between failure domains, so that one that answers is asked alone.
-const ASK_GAP: Duration = Duration::from_millis(50);
+/// How long a VM without a lease waits for one control VM before it asks the next one as well:
+/// several round trips between failure domains, so that usually only one is asked.
+const ASK_STAGGER: Duration = Duration::from_millis(50);
 
-/// What this VM knows of the system.
+/// This VM's catalog copy and lease.
 #[derive(Clone)]
 pub struct MemberView {
-    /// The copy of the catalog; revision zero before the first grant.
+    /// The catalog copy; at revision zero before the first grant.
     pub copy: Arc<CatalogCopy>,
     /// The lease.
     pub lease: MemberLease,
     /// Whether this VM is shutting down.
     pub draining: bool,
-    /// How often it changed which callers are taken.
+    /// The number of changes of the catalog copy that may change which callers are accepted.
     pub caller_changes: u64,
 }
 
 impl MemberView {
-    /// Says whether this VM may serve now: it has a live lease, and so a present catalog.
+    /// Says whether this VM may serve now: it has a valid lease, and so a current catalog copy.
     pub fn may_serve(&self, now: ClockTime) -> bool {
         self.lease.is_valid(now)
     }
 
     /// Says whether `vm`, which is this VM, may dispatch and answer for a group now.
     ///
-    /// A group's task takes a change of the view in its turn among other events. Its answers until then would
-    /// be acknowledged under a placement that is over, beside a successor.
+    /// A group's task handles a change of the view in turn with its other events. Without this
+    /// check its answers until then would be acknowledged under a placement that has ended, while a
+    /// successor leads the group.
     pub fn may_lead(&self, now: ClockTime, vm: &VmName, group: &GroupName) -> bool {
         let record = self.copy.group(group);
         self.may_serve(now) && record.is_none_or(|record| record.placement.leaseholder == *vm)
     }
 }
 
-/// What the heartbeat task works with.
+/// The state of the heartbeat task.
 pub struct MemberTask {
     /// The daemon's settings.
     pub settings: Arc<DaemonSettings>,
@@ -98,19 +99,20 @@
     pub draining: watch::Receiver<bool>,
     /// Ends the task.
     pub stop: watch::Receiver<bool>,
-    /// The lease to ask for.
+    /// Determines the length of the lease to ask for.
     pub pace: LeasePace,
-    /// The last grant and the moment at which its heartbeat was sent, until it is taken.
-    pub untaken: Option<UntakenGrant>,
+    /// The last grant, while its lease can't begin yet.
+    pub pending_grant: Option<PendingGrant>,
 }
 
-/// A grant that can't be taken before the copy of the catalog has come up to it.
-pub struct UntakenGrant {
+/// A grant whose lease can't begin before the catalog copy has reached its revision, with the time
+/// at which its heartbeat was sent.
+pub struct PendingGrant {
     sent: ClockTime,
     grant: LeaseGrant,
 }
 
-/// Returns the pace at which a process of these settings begins.
+/// Creates the lease pace with which a process of these settings starts.
 pub fn create_pace(settings: &DaemonSettings) -> LeasePace {
     let timing = &settings.timing;
     LeasePace::new(
@@ -130,7 +132,7 @@
 }
 
 impl MemberTask {
-    /// Sends heartbeats until told to stop, then leaves the membership.
+    /// Sends heartbeats until `stop` is set, then leaves the membership.
     ///
     /// Returns false if another process has joined under this VM's name.
     pub async fn run(mut self, id: MemberId) -> bool {
@@ -141,45 +143,47 @@
             view: self.view.subscribe(),
             scope: CatalogScope::of(self.describe_traits()),
         });
-        let in_order = self.beat(id, &mut fetch).await;
+        let not_superseded = self.run_heartbeats(id, &mut fetch).await;
         fetch.stop().await;
-        in_order
+        not_superseded
     }
 
-    async fn beat(&mut self, mut id: MemberId, fetch: &mut CatalogFetch) -> bool {
-        let mut turn = 0;
+    async fn run_heartbeats(&mut self, mut id: MemberId, fetch: &mut CatalogFetch) -> bool {
+        let mut cursor = 0;
         let mut attached = false;
         let mut ever_attached = false;
         loop {
             let addresses = self.directory.addresses();
-            let Some(address) = addresses.get(turn % addresses.len().max(1)).copied() else {
-                // Without any address there is nobody to ask; new settings may bring one.
+            let Some(address) = addresses.get(cursor % addresses.len().max(1)).copied() else {
+                // No control address is known; new settings may bring one.
                 if !self.wait_next(false, self.clock.now(), fetch).await {
                     return true;
                 }
                 continue;
             };
             let sent = self.clock.now();
-            let mut due = self.next_beat(sent);
+            let mut due = self.next_heartbeat_time(sent);
             let reply = match attached {
                 true => self.send_heartbeat(&id, address).await,
-                false => self.seek_grant(&id, &addresses, &mut turn).await,
+                false => self.seek_grant(&id, &addresses, &mut cursor).await,
             };
             if let Some(SentReply { sent, reply }) = &reply
                 && let HeartbeatReply::Granted(grant) = reply
             {
-                self.take_grant(*sent, grant);
+                self.apply_grant(*sent, grant);
             }
             match reply.map(|answered| answered.reply) {
                 Some(HeartbeatReply::Granted(grant)) => {
-                    // A change is confirmed at once, so that its operator isn't kept waiting.
+                    // Sends the next heartbeat at once, since an operator waits for the
+                    // confirmation of the change.
                     if grant.delta.as_ref().is_some_and(must_be_confirmed) {
                         due = sent;
                     }
-                    if let Some(lacked) = self.lacks(&grant) {
-                        fetch.ask_for(lacked);
+                    if let Some(missing) = self.missing_revision(&grant) {
+                        fetch.ask_for(missing);
                     }
-                    // A search for a control VM takes long without any pause of this VM's own.
+                    // The time to find a control VM that grants says nothing about the delays of a
+                    // heartbeat.
                     if attached {
                         self.note_round(sent);
                     }
@@ -191,11 +195,12 @@
                 }
                 Some(HeartbeatReply::NotYet) => {
                     attached = false;
-                    // A control VM that was removed from the voters knows no leader for good.
-                    turn += 1;
+                    // A control VM that was removed from the voters never learns of a leader again.
+                    cursor += 1;
                 }
-                // The wall clock, from which the incarnation was taken, went back since the former
-                // process started. This one holds nothing yet, so it may take a later one.
+                // The incarnation is taken from the wall clock, which was set back since an earlier
+                // process of this VM started. This process holds nothing yet, so it may take a
+                // later incarnation.
                 Some(HeartbeatReply::Superseded(latest)) if !ever_attached => {
                     log_event!(Level::Warn, "clock_went_back", vm = id.vm, known = latest);
                     id.incarnation = latest.next();
@@ -215,7 +220,7 @@
                         log_event!(Level::Warn, "heartbeat_lost", vm = id.vm, control = address);
                     }
                     attached = false;
-                    turn += 1;
+                    cursor += 1;
                 }
             }
             if !self.wait_next(attached, due, fetch).await {
@@ -246,41 +251,45 @@
         }
     }
 
-    /// Asks one control VM after the other, from `turn` on, without waiting for those that were asked
-    /// before; `turn` becomes the one that grants.
+    /// Asks the control VMs one after the other, starting at index `cursor` and [`ASK_STAGGER`]
+    /// apart, without waiting for earlier answers; `cursor` becomes the index of the one that
+    /// grants.
     ///
-    /// After a restart of many VMs some control VMs hang, start late or wait for a leader. Asked one at
-    /// a time they would keep this VM from the one that could grant, and its callers with it.
+    /// After a restart of many VMs some control VMs hang, start late or have no leader yet. Asked
+    /// strictly one at a time, they would delay the grant of another one, and with it this VM's
+    /// callers.
     async fn seek_grant(
         &mut self,
         id: &MemberId,
         addresses: &[SocketAddr],
-        turn: &mut usize,
+        cursor: &mut usize,
     ) -> Option<SentReply> {
         let request = self.describe_heartbeat(id);
         let this = &*self;
         let asked = (0..addresses.len()).map(|step| {
-            let place = (*turn + step) % addresses.len();
+            let index = (*cursor + step) % addresses.len();
             let request = request.clone();
             async move {
-                sleep(ASK_GAP * u32::try_from(step).unwrap_or(u32::MAX)).await;
-                let reply = this.call_heartbeat(request, addresses[place]).await;
-                (place, reply)
+                sleep(ASK_STAGGER * u32::try_from(step).unwrap_or(u32::MAX)).await;
+                let reply = this.call_heartbeat(request, addresses[index]).await;
+                (index, reply)
             }
         });
         let mut asked: FuturesUnordered<_> = asked.collect();
-        let mut best = None;
-        while let Some((place, reply)) = asked.next().await {
+        let mut fallback = None;
+        while let Some((index, reply)) = asked.next().await {
             match reply {
-                Some(vain) if vain.reply == HeartbeatReply::NotYet => best = Some(vain),
+                Some(not_yet) if not_yet.reply == HeartbeatReply::NotYet => {
+                    fallback = Some(not_yet)
+                }
                 Some(decisive) => {
-                    *turn = place;
+                    *cursor = index;
                     return Some(decisive);
                 }
                 None => {}
             }
         }
-        best
+        fallback
     }
 
     fn describe_heartbeat(&mut self, id: &MemberId) -> HeartbeatRequest {
@@ -311,12 +320,14 @@
         Some(SentReply { sent, reply })
     }
 
-    /// Publishes the new view: the delta always, the lease only with it.
+    /// Publishes the new view: the delta always, the lease only if the copy has reached the grant's
+    /// revision.
     ///
-    /// A VM that lacks a change which control has told an operator is in force everywhere would
-    /// serve under the replaced contract. It can lack one after its lease ended and it was not
-    /// counted, so a lease is only taken together with everything up to the grant's revision.
-    fn take_grant(&mut self, sent: ClockTime, grant: &LeaseGrant) {
+    /// Control reports a change to an operator as in force once every VM with a lease has it. A VM
+    /// whose lease had ended was not counted; if it took a new lease without the change, it would
+    /// serve under the replaced contract. So a lease is taken only together with everything up to
+    /// the grant's revision.
+    fn apply_grant(&mut self, sent: ClockTime, grant: &LeaseGrant) {
         let mut copy = Arc::clone(&self.view.borrow().copy);
         let mut callers = false;
         if let Some(delta) = &grant.delta {
@@ -340,32 +351,32 @@
             delta: None,
             ..grant.clone()
         };
-        self.untaken = (!renewed).then_some(UntakenGrant { sent, grant });
+        self.pending_grant = (!renewed).then_some(PendingGrant { sent, grant });
     }
 
-    /// Publishes a copy that was fetched, with the lease that waited for it.
-    fn take_copy(&mut self, copy: CatalogCopy) {
+    /// Publishes a fetched copy, and renews the lease if a grant waited for it.
+    fn apply_copy(&mut self, copy: CatalogCopy) {
         let held = copy.revision();
         if held <= self.view.borrow().copy.revision() {
             return;
         }
-        let untaken = self.untaken.take();
+        let pending_grant = self.pending_grant.take();
         self.view.send_modify(|view| {
             view.copy = Arc::new(copy);
             view.caller_changes += 1;
-            if let Some(UntakenGrant { sent, grant }) = &untaken {
+            if let Some(PendingGrant { sent, grant }) = &pending_grant {
                 view.lease.renew(*sent, grant, held);
             }
         });
     }
 
-    /// Returns the revision of a grant that the copy hasn't reached.
-    fn lacks(&self, grant: &LeaseGrant) -> Option<CatalogRevision> {
+    /// Returns the revision of a grant if the copy hasn't reached it.
+    fn missing_revision(&self, grant: &LeaseGrant) -> Option<CatalogRevision> {
         let held = self.view.borrow().copy.revision();
         (held < grant.revision).then_some(grant.revision)
     }
 
-    /// Learns from the time that a granted heartbeat took.
+    /// Records how long a granted heartbeat took, which may lengthen the lease to ask for.
     fn note_round(&mut self, sent: ClockTime) {
         let took = self.clock.now().since(sent);
         if self.pace.note_round(took) {
@@ -379,11 +390,11 @@
     }
 
     /// Returns when the heartbeat after the one sent at `sent` is due.
-    fn next_beat(&self, sent: ClockTime) -> ClockTime {
+    fn next_heartbeat_time(&self, sent: ClockTime) -> ClockTime {
         sent + Duration::from_millis(self.settings.timing.heartbeat_ms)
     }
 
-    /// Waits for the next heartbeat's time; false if this VM is to stop.
+    /// Waits until the next heartbeat is due; returns false if this VM is to stop.
     async fn wait_next(
         &mut self,
         attached: bool,
@@ -404,8 +415,8 @@
                 }
             }
             _ = self.draining.changed() => {}
-            // The next heartbeat confirms it, and brings the lease that it was fetched for.
-            copy = fetch.next_copy() => self.take_copy(copy),
+            // The next heartbeat confirms the copy and gets the lease for which it was fetched.
+            copy = fetch.next_copy() => self.apply_copy(copy),
             changed = self.unplaced.changed() => {
                 if changed.is_err() {
                     sleep(pause).await;
@@ -415,7 +426,7 @@
         !*self.stop.borrow()
     }
 
-    /// Leaves the membership, so that nobody waits for this VM's lease to end.
+    /// Leaves the membership, so that control needn't wait for this VM's lease to end.
     async fn leave(&self, id: &MemberId) {
         self.view.send_modify(|view| view.lease.supersede());
         let command = CatalogCommand::RemoveMember(id.clone());
@@ -436,15 +447,16 @@
     }
 }
 
-/// A reply and the moment at which its heartbeat was sent, from which its lease counts.
+/// A reply and the time at which its heartbeat was sent, from which the lease counts.
 struct SentReply {
     sent: ClockTime,
     reply: HeartbeatReply,
 }
 
-/// Says whether control waits for a delta's confirmation: an operator's change is in force only then.
+/// Says whether control waits for the confirmation of a delta, as for every change but those of
+/// members: an operator's change is in force only when all members have confirmed it.
 fn must_be_confirmed(delta: &CatalogDelta) -> bool {
-    let routine =
+    let is_membership_change =
         |item: &CatalogItem| matches!(item, CatalogItem::Member(_) | CatalogItem::MemberGone(_));
-    !delta.items.iter().all(routine)
+    !delta.items.iter().all(is_membership_change)
 }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,7 +1,7 @@
 //! The daemon's metrics, for the platform's collector.
 //!
-//! No label holds a customer, session or endpoint: at the size to come, such labels would cost more
-//! memory on each VM than the daemon itself.
+//! No label holds a customer, session or endpoint: at the intended scale such labels would cost
+//! more memory on each VM than the daemon itself.
 
 use crate::descriptors::DescriptorUse;
 use crate::shortage::count_shortages;
@@ -23,11 +23,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The first bucket of waiting times, in seconds; each next one is twice as wide.
+/// The upper bound of the first bucket of waiting times, in seconds; each further bucket is twice
+/// as wide.
 ///
 /// Half a millisecond is below one hop between failure domains, and 16 doublings reach 16 s, above
 /// any deadline that a caller is likely to have.
-const FIRST_WAIT_BUCKET: f64 = 0.000_5;
+const FIRST_WAIT_BUCKET_SECONDS: f64 = 0.000_5;
 const WAIT_BUCKETS: u16 = 16;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -103,7 +104,7 @@
 impl DaemonMetrics {
     /// Creates metrics that are all zero.
     pub fn new() -> Self {
-        let buckets = exponential_buckets(FIRST_WAIT_BUCKET, 2.0, WAIT_BUCKETS);
+        let buckets = exponential_buckets(FIRST_WAIT_BUCKET_SECONDS, 2.0, WAIT_BUCKETS);
         let mut metrics = Self {
             registry: Arc::new(Registry::default()),
             requests: Family::default(),
@@ -204,12 +205,12 @@
         registry
     }
 
-    /// Counts an announcement that names no endpoint to use; returns how many there were.
+    /// Counts an announcement that names no usable endpoint; returns the number so far.
     pub fn count_refused_announcement(&self) -> u64 {
         self.refused_announcements.inc() + 1
     }
 
-    /// Counts a request's final verdict.
+    /// Counts a request by its final verdict.
     pub fn count_request(&self, verdict: &RequestVerdict, class: UrgencyClass) {
         let (verdict, cause) = match verdict {
             RequestVerdict::Ran(StatementAnswer::Failed(_)) => ("failed", String::new()),
@@ -293,7 +294,7 @@
         self.catalog_revision.set(revision.0 as i64);
     }
 
-    /// Returns the gauge of the descriptors that are held for a use.
+    /// Returns the gauge of the descriptors held for a use.
     pub(crate) fn descriptor_gauge(&self, purpose: DescriptorUse) -> Gauge {
         if purpose == DescriptorUse::Callers {
             return self.caller_connections.clone();
@@ -309,7 +310,7 @@
         self.descriptor_limit.set(i64::from(limit));
     }
 
-    /// Counts a failed check of what must always hold.
+    /// Counts a failed check of an invariant.
     pub fn count_invariant_failure(&self, point: &str) {
         let labels = PointLabels {
             point: point.replace(' ', "_"),
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -1,4 +1,8 @@
-//! The whole daemon: starts every task, and joins them all at the end.
+//! Starts all tasks of the daemon and shuts them down in dependency order.
+//!
+//! On a drain the VM first reports that it isn't ready and still accepts callers for
+//! `drain_notice_ms`, until the balancer has seen it. Then the caller edges stop, the groups are
+//! handed over, the VM leaves the membership, and the remaining tasks end.
 
 use crate::callers::CallerEdge;
 use crate::callers::CallerLimits;
@@ -64,28 +68,29 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
-/// How long the services may take to answer what they were asked before the end. It is
-/// a guess at what a commit on a slow disk needs, far below the time until a platform kills.
-const SERVICES_END: Duration = Duration::from_secs(1);
+/// Time limit for the services to answer open requests at shutdown. It is an estimate of what a
+/// commit on a slow disk needs, far below the time after which a platform kills the process.
+const SERVICES_STOP_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Messages that may wait for the leaseholders' manager, which takes them in at once.
-const LEASEHOLDER_QUEUE: usize = 8_192;
+/// Capacity of the queue of the leaseholders' manager, in messages. The manager handles a message
+/// as soon as it arrives.
+const LEASEHOLDER_QUEUE_CAPACITY: usize = 8_192;
 
-/// How often the settings are looked at for other seeds without a signal. Seeds matter only to a VM
-/// that has lost all others.
-const SEEDS_EVERY: Duration = Duration::from_secs(5);
+/// Interval at which the seeds in the settings are read again without a signal. They matter only to
+/// a VM that can reach no other known control VM.
+const SEED_READ_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How long a gateway reaches nobody before its sessions are closed. It has no lease by then, so the cut
-/// has lasted for longer.
+/// How long a gateway may reach no other VM before its sessions are closed. The network fault has
+/// lasted longer by then, because the gateway's lease had to end first.
 const ISOLATION_LIMIT: Duration = Duration::from_millis(100);
 
-/// Dumps that may be asked for at once.
-const DUMP_QUEUE: usize = 16;
+/// Capacity of the queue of dump requests.
+const DUMP_QUEUE_CAPACITY: usize = 16;
 
-/// Why the daemon could not start, or ended other than by a drain.
+/// The reason why the daemon could not start, or ended other than by a drain.
 #[derive(Debug)]
 pub enum NodeFault {
-    /// An address can't be listened on.
+    /// The daemon can't listen on an address.
     Listen(&'static str, io::Error),
     /// The control role failed.
     Control(ControlFault),
@@ -103,9 +108,9 @@
     }
 }
 
-/// The switches by which the parent ends its tasks, in this order.
+/// Stop signals of the tasks, in the order in which shutdown sets them.
 struct StopSwitches {
-    /// The VM isn't ready any more; it still takes callers.
+    /// The VM reports that it isn't ready, but still accepts callers.
     drain: watch::Sender<bool>,
     callers: watch::Sender<bool>,
     leaseholders: watch::Sender<bool>,
@@ -126,7 +131,7 @@
     }
 }
 
-/// What every task of the daemon starts from.
+/// State shared by all tasks.
 struct NodeBase {
     settings: Arc<DaemonSettings>,
     clock: NodeClock,
@@ -141,7 +146,7 @@
     edges: NodeEdges,
 }
 
-/// The addresses that must be free before anything starts.
+/// The listeners that are bound before any task starts.
 struct NodeListeners {
     platform: TcpListener,
     statements: Option<TcpListener>,
@@ -167,25 +172,25 @@
     }
 }
 
-/// The running tasks, which the daemon joins at its end.
+/// The running tasks, which are joined at shutdown.
 struct NodeTasks {
     server: ServerHandle,
     control: Option<JoinHandle<Result<(), ControlFault>>>,
     manager: JoinHandle<()>,
     member: JoinHandle<bool>,
     callers: Option<JoinHandle<()>>,
-    /// What answers the outside beside callers.
+    /// Services of a native edge beside its callers.
     services: Option<JoinHandle<()>>,
-    /// Tasks that end when all others have.
+    /// Tasks that end only after all others.
     helpers: JoinSet<()>,
 }
 
-/// Runs the daemon until it's drained or can't go on.
+/// Runs the daemon until it is drained or can't go on.
 ///
 /// # Errors
 ///
-/// Returns a fault if an address can't be listened on, the data folder can't be used, or another
-/// process has joined under this VM's name.
+/// Returns a fault if the daemon can't listen on an address, the data folder can't be used, or
+/// another process has joined under this VM's name.
 pub async fn run_node(settings: Arc<DaemonSettings>, edges: NodeEdges) -> Result<(), NodeFault> {
     let listeners = NodeListeners::bind(&settings).await?;
     let (seed_sender, seeds) = watch::channel(settings.seeds().to_vec());
@@ -201,7 +206,7 @@
     let descriptors = create_budget(&settings, &metrics);
     let base = NodeBase {
         clock,
-        links: PeerLinks::new(connect_timeout).counted_by(descriptors.clone()),
+        links: PeerLinks::new(connect_timeout).with_descriptor_budget(descriptors.clone()),
         descriptors,
         metrics,
         statement_links: StatementLinks::new(clock, connect_timeout),
@@ -257,7 +262,7 @@
         ));
         let (standby, standby_task) = spawn_standby(base.settings.vm.clone(), base.view.clone());
         helpers.spawn(join_quietly(standby_task));
-        let (leaseholders, leaseholder_events) = mpsc::channel(LEASEHOLDER_QUEUE);
+        let (leaseholders, leaseholder_events) = mpsc::channel(LEASEHOLDER_QUEUE_CAPACITY);
         let (ready_sender, ready) = watch::channel(false);
         let dump = NodeDump {
             settings: Arc::clone(&base.settings),
@@ -315,8 +320,8 @@
         })
     }
 
-    /// Ends the tasks in an order that cuts nothing: callers first, then the groups, the
-    /// membership, and last what the others need until their end.
+    /// Stops the tasks in an order that interrupts no work: callers first, then the groups, the
+    /// membership, and last what the others need until they end.
     async fn shut_down(mut self, base: &NodeBase, ended: &EndCause) -> Result<(), ControlFault> {
         if let EndCause::Drain = ended {
             log_event!(Level::Info, "drain_started", vm = base.settings.vm);
@@ -324,7 +329,7 @@
         base.switches.drain.send_replace(true);
         if let Some(callers) = self.callers {
             if let EndCause::Drain = ended {
-                await_notice(&base.settings).await;
+                wait_for_balancer(&base.settings).await;
             }
             base.switches.callers.send_replace(true);
             join_quietly(callers).await;
@@ -337,15 +342,15 @@
             let _ = self.member.await;
         }
         base.switches.rest.send_replace(true);
-        let whole = match self.services {
+        let services_finished = match self.services {
             Some(services) => end_services(services).await,
             None => true,
         };
         base.statement_links.shut_down().await;
         let _ = self.server.stop();
         self.server.stopped().await;
-        if !whole {
-            // A service that was cut may still hold the senders by whose end helpers know theirs.
+        if !services_finished {
+            // An aborted service may still hold senders that the helpers wait for to be dropped.
             self.helpers.abort_all();
         }
         while self.helpers.join_next().await.is_some() {}
@@ -369,32 +374,33 @@
     DescriptorBudget::new(limit, metrics)
 }
 
-/// Goes on taking callers until the platform's balancer has seen that the VM isn't ready any more.
+/// Keeps accepting callers until the platform's balancer has seen that the VM isn't ready.
 ///
-/// The balancer sends new callers here until then. They would find nobody listening, and where this
-/// is the only gateway of a failure domain, all of the domain's callers would for seconds.
-async fn await_notice(settings: &DaemonSettings) {
+/// Until then the balancer sends new callers here. Without this wait they would find no listener,
+/// and where this is the only gateway of a failure domain, none of the domain's callers could
+/// connect for seconds.
+async fn wait_for_balancer(settings: &DaemonSettings) {
     sleep(Duration::from_millis(settings.timing.drain_notice_ms)).await;
 }
 
-/// Waits until the services have answered what they were asked, for a bounded time; false if they
-/// were cut.
+/// Waits at most [`SERVICES_STOP_TIMEOUT`] for the services to answer open requests; returns false
+/// if they had to be aborted.
 ///
-/// A sender that has sent half a request and says nothing more would hold up the end until the
-/// platform kills the process in the middle of what it still has to do.
+/// A client that has sent half a request and then stops would otherwise delay the shutdown until
+/// the platform kills the process, before the remaining tasks have ended.
 async fn end_services(mut services: JoinHandle<()>) -> bool {
-    if timeout(SERVICES_END, &mut services).await.is_ok() {
+    if timeout(SERVICES_STOP_TIMEOUT, &mut services).await.is_ok() {
         return true;
     }
-    let limit_ms = SERVICES_END.as_millis();
+    let limit_ms = SERVICES_STOP_TIMEOUT.as_millis();
     log_event!(Level::Warn, "services_cut", limit_ms = limit_ms);
     services.abort();
-    // It ends as cancelled.
+    // The abort shows as a cancellation error.
     let _ = services.await;
     false
 }
 
-/// Waits for a task's end; a task that panicked has logged that itself.
+/// Waits for a task to end; a panic was already logged by the panic hook.
 async fn join_quietly(task: JoinHandle<()>) {
     let _ = task.await;
 }
@@ -411,7 +417,7 @@
             per_mille: u32::try_from(settings.limits.account_overshoot).unwrap_or(u32::MAX),
         },
     ));
-    // Only what may lead groups lets operations begin.
+    // Account limits are applied only where groups may be led.
     if settings.roles.leaseholder {
         helpers.spawn(Arc::clone(&limits).run(base.switches.rest.subscribe()));
     }
@@ -454,7 +460,7 @@
         draining: base.switches.drain.subscribe(),
         stop: base.switches.member.subscribe(),
         pace: create_pace(&base.settings),
-        untaken: None,
+        pending_grant: None,
     };
     tokio::spawn(member.run(base.id.clone()))
 }
@@ -478,7 +484,7 @@
     dump: NodeDump,
     helpers: &mut JoinSet<()>,
 ) {
-    let (dump_sender, dump_requests) = mpsc::channel(DUMP_QUEUE);
+    let (dump_sender, dump_requests) = mpsc::channel(DUMP_QUEUE_CAPACITY);
     helpers.spawn(answer_dumps(dump, dump_requests));
     let view = PlatformView {
         ready,
@@ -515,13 +521,13 @@
     else {
         return Ok(None);
     };
-    let fresh = base.id.incarnation;
+    let incarnation = base.id.incarnation;
     let opened = ControlTask::open(
         Arc::clone(settings),
         base.clock,
         base.links.clone(),
         folder,
-        fresh,
+        incarnation,
     );
     let (task, sender) = opened.map_err(NodeFault::Control)?;
     let stop = base.switches.rest.subscribe();
@@ -561,7 +567,7 @@
     }
 }
 
-/// Starts what answers the outside beside callers, where that was brought along.
+/// Starts the services of a native edge; the PostgreSQL edge has none.
 fn start_services(base: &NodeBase, services: NodeServices) -> Option<JoinHandle<()>> {
     let NodeEdges::Native(edges) = base.edges.clone() else {
         return None;
@@ -592,7 +598,7 @@
     helpers.spawn(formation.run());
 }
 
-/// Follows the seeds in the settings, which may change with or without a signal.
+/// Reads the seeds from the settings again at an interval and on SIGHUP, and publishes changes.
 fn start_seed_watch(
     base: &NodeBase,
     seeds: watch::Sender<Vec<SocketAddr>>,
@@ -607,15 +613,15 @@
         };
         let mut reloads = signal(SignalKind::hangup()).ok();
         loop {
-            let told = async {
+            let hangup = async {
                 match &mut reloads {
                     Some(signals) => signals.recv().await.is_some(),
                     None => std::future::pending().await,
                 }
             };
-            let asked = tokio::select! {
-                told = told => told,
-                () = sleep(SEEDS_EVERY) => false,
+            let by_signal = tokio::select! {
+                hangup = hangup => hangup,
+                () = sleep(SEED_READ_INTERVAL) => false,
                 _ = stop.wait_for(|set| *set) => return,
             };
             let read = edges.services.read_seeds();
@@ -626,14 +632,14 @@
                     changed
                 })
             });
-            if asked || changed {
+            if by_signal || changed {
                 log_event!(Level::Info, "settings_reloaded", seeds_changed = changed);
             }
         }
     });
 }
 
-/// Waits for a signal or an operator's drain, or for the membership to end by itself.
+/// Waits for SIGTERM, an operator's drain, or the end of the membership task.
 async fn wait_for_end(drain: &watch::Sender<bool>, member: &mut JoinHandle<bool>) -> EndCause {
     let mut drained = drain.subscribe();
     let terminate = async {
@@ -646,7 +652,8 @@
     };
     tokio::select! {
         () = terminate => {
-            // The VM says at once that it isn't ready; callers are closed a little later.
+            // The VM reports at once that it isn't ready; its callers' connections are closed
+            // later.
             drain.send_replace(true);
             EndCause::Drain
         }
@@ -655,7 +662,8 @@
     }
 }
 
-/// Waits until no group is placed here, at most the drain time.
+/// Waits until this VM leads no group, or no other VM could take one over, for at most the drain
+/// time.
 async fn await_handover(
     settings: &DaemonSettings,
     view: &watch::Receiver<MemberView>,
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -1,7 +1,7 @@
 //! Links to other VMs and to endpoints' agents.
 //!
-//! A link is opened on first use and kept. A call that can't connect has not run; a call that
-//! fails later may have, and [`LinkError`] says which.
+//! A link is opened on first use and kept. [`LinkError`] distinguishes a call that has certainly
+//! not run, because no connection could be opened, from one that may have run.
 
 use crate::connecting::connect_stream;
 use crate::descriptors::DescriptorBudget;
@@ -34,7 +34,7 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
-/// Requests that may wait on one link. A gateway multiplexes all its callers over one link to a
+/// The most calls in flight on one link. A gateway multiplexes all its callers over one link to a
 /// leaseholder, so the library's default of 256 would refuse ordinary load.
 const LINK_REQUESTS: usize = 16_384;
 
@@ -42,28 +42,29 @@
 /// contracts takes a few megabytes.
 const LINK_MESSAGE_BYTES: u32 = 64 * 1024 * 1024;
 
-/// How long a call may take before its link is checked, and again after each check. Statements and
-/// calls to control take milliseconds; what takes longer usually waits for a slot.
+/// How long a call may take before its link is checked, and the time between further checks.
+/// Statements and calls to control take milliseconds; a longer call usually waits for a connection
+/// slot.
 const CHECK_AFTER: Duration = Duration::from_millis(400);
 
-/// How long the check may take: many times a round trip between regions.
+/// Time limit for the check: many round trips between regions.
 const CHECK_LIMIT: Duration = Duration::from_millis(400);
 
-/// How long a VM may take to take an announcement that is passed on to it. The endpoint that waits
-/// for the answer gives up after a second and asks elsewhere.
+/// Time limit for passing an announcement on to another VM. The endpoint that waits for the answer
+/// gives up after a second and asks another VM.
 const ANNOUNCE_LIMIT: Duration = Duration::from_millis(700);
 
-/// How often an idle link is pinged, only so that dead ones are closed at last. At 629 links of a VM
-/// that is 63 pings a second.
+/// Interval at which an idle link is pinged, long because pings only have to close dead links
+/// eventually. With 629 links on a VM it makes 63 pings a second.
 const IDLE_PING: Duration = Duration::from_secs(10);
 
 /// How a call over a link failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LinkError {
-    /// No connection could be had: the call has not run.
+    /// No connection could be opened: the call has not run.
     Unreachable,
-    /// This VM has no descriptor, memory or port for a connection: the call has not run, and nothing is known
-    /// of the other side.
+    /// This VM has no descriptor, memory or port for a connection: the call has not run, and
+    /// nothing is known about the other side.
     Exhausted,
     /// The connection was lost or silent after the call was handed to it: the call may have run.
     Lost,
@@ -104,11 +105,11 @@
     link: AsyncMutex<Option<OpenLink>>,
 }
 
-/// A link that is open, and who is known to answer on it.
+/// An open link, and the instance that was verified on it, if any.
 struct OpenLink {
     client: Arc<WsClient>,
-    /// The instance whose agent has answered the greeting.
-    greeted: Option<InstanceIdentity>,
+    /// The instance whose agent has identified itself on this link.
+    verified: Option<InstanceIdentity>,
     _hold: Option<DescriptorHold>,
 }
 
@@ -122,20 +123,20 @@
         }
     }
 
-    /// Counts the links among the descriptors of the process.
-    pub fn counted_by(self, descriptors: DescriptorBudget) -> Self {
+    /// Counts open links as held descriptors of the process.
+    pub fn with_descriptor_budget(self, descriptors: DescriptorBudget) -> Self {
         Self {
             descriptors: Some(descriptors),
             ..self
         }
     }
 
-    /// Makes one call over the link to `address`, answered within `limit`.
+    /// Makes one call over the link to `address`, which must be answered within `limit`.
     ///
     /// # Errors
     ///
-    /// Returns [`LinkError::Unreachable`] if no connection could be had, and [`LinkError::Lost`] if
-    /// the connection ended or the time ran out after the call was handed over.
+    /// Returns [`LinkError::Unreachable`] if no connection could be opened, and [`LinkError::Lost`]
+    /// if the connection ended or the time ran out after the call was handed over.
     pub async fn call<Reply, Call, Answer>(
         &self,
         address: SocketAddr,
@@ -152,13 +153,14 @@
 
     /// Makes one call to the agent of an instance, as [`call`](Self::call) does.
     ///
-    /// The link greets first. An address is given anew, and what answers there may be another group's
-    /// instance: it would be counted for a majority that doesn't hold the write, or promoted in place of
-    /// ours. A connection leads to the same process until it ends, so one greeting for each is enough.
+    /// The identity of the agent is checked once on each connection. An address may be reassigned,
+    /// and another group's instance may answer there: it would be counted towards a majority that
+    /// doesn't hold the write, or promoted in place of the expected one. A connection leads to the
+    /// same process until it ends.
     ///
     /// # Errors
     ///
-    /// Returns [`LinkError::Unreachable`] also if somebody else answers there, since the call was not
+    /// Returns [`LinkError::Unreachable`] also if another instance answers, since the call was not
     /// made.
     pub async fn call_instance<Reply, Call, Answer>(
         &self,
@@ -192,9 +194,9 @@
             Ok(Err(ClientError::Call(error))) => {
                 Err(LinkError::Rejected(error.message().to_string()))
             }
-            // The path may have dropped the connection's state: it stays silent for good while new
-            // connections work, and every later call would time out too. A fresh connection on the
-            // next call ends that.
+            // The network path may have dropped the connection's state: the connection stays silent
+            // for good while new ones work, and every later call would time out too. Closing it
+            // makes the next call open a new one.
             Ok(Err(_)) | Err(_) => {
                 self.discard(address, &client).await;
                 Err(LinkError::Lost)
@@ -208,7 +210,7 @@
         *slot.link.lock().await = None;
     }
 
-    /// Returns the open link to `address`, or opens one; greets on it if an instance is expected there.
+    /// Returns the open link to `address`, or opens one; verifies the instance if one is expected.
     async fn connect(
         &self,
         address: SocketAddr,
@@ -217,20 +219,20 @@
         let slot = self.slot(address);
         let mut link = slot.link.lock().await;
         if let Some(open) = link.as_ref().filter(|open| open.client.is_connected())
-            && (expected.is_none() || open.greeted.as_ref() == expected)
+            && (expected.is_none() || open.verified.as_ref() == expected)
         {
             return Ok(Arc::clone(&open.client));
         }
         *link = None;
-        let opening = open_greeted(address, expected, self.connect_timeout);
+        let opening = open_verified(address, expected, self.connect_timeout);
         let client = timeout(self.connect_timeout, opening).await;
         let client = client.map_err(|_| LinkError::Unreachable)?;
         let client = Arc::new(client.map_err(|error| error.as_link_error())?);
         let descriptors = self.descriptors.as_ref();
         *link = Some(OpenLink {
             client: Arc::clone(&client),
-            greeted: expected.cloned(),
-            _hold: descriptors.map(|held| held.hold(DescriptorUse::Peers)),
+            verified: expected.cloned(),
+            _hold: descriptors.map(|budget| budget.hold(DescriptorUse::Peers)),
         });
         Ok(client)
     }
@@ -252,11 +254,11 @@
     }
 }
 
-/// Waits for a call's answer, and checks now and then that the link still answers at all.
+/// Waits for a call's answer, and checks every [`CHECK_AFTER`] that the link still answers at all.
 ///
-/// Something on the path may have forgotten the connection, or the other process may be frozen. The
-/// call would then wait until its deadline, with its caller. Only calls that take long are checked:
-/// pings on every idle link of 630 VMs cost more than all that control may spend.
+/// The network path may have dropped the connection's state, or the other process may be frozen.
+/// The call, and its caller, would then wait until the deadline. Only calls that take long are
+/// checked: pings on every idle link of 630 VMs cost more than all that control may spend.
 async fn await_answer<Reply>(
     client: &WsClient,
     answering: impl Future<Output = Result<Reply, ClientError>>,
@@ -272,8 +274,8 @@
     }
 }
 
-/// Says, after a while, whether the other side still answers on the link. Any answer will do, also
-/// that it doesn't know the call.
+/// Waits for [`CHECK_AFTER`], then says whether the other side still answers on the link. Any
+/// answer counts, including one that the method is unknown.
 async fn check_link(client: &WsClient) -> bool {
     sleep(CHECK_AFTER).await;
     let ping = client.request::<(), _>("peer_ping", rpc_params![]);
@@ -283,11 +285,13 @@
     }
 }
 
-/// Passes an endpoint's announcement on, and says whether who answers leads the endpoint's group.
+/// Passes an endpoint's announcement on, and says whether the VM that answers leads the endpoint's
+/// group.
 ///
-/// Only the leaseholder can keep work away from an endpoint that leaves. At its address another VM may
-/// answer by now, or the same one whose lease of the group has ended; it takes the announcement as any VM
-/// does. Were that enough, the endpoint would be told that it may go while it is still sent work.
+/// Only the leaseholder can keep work away from a leaving endpoint. By now another VM may answer at
+/// its address, or the same VM may no longer lead the group; either accepts the announcement like
+/// any VM. If that were enough, the endpoint would be told that it may stop while it is still sent
+/// work.
 pub async fn pass_announcement(
     links: &PeerLinks,
     address: SocketAddr,
@@ -297,11 +301,12 @@
     matches!(links.call(address, ANNOUNCE_LIMIT, call).await, Ok(true))
 }
 
-/// Says how a *new* connection to `address` ends that may take `limit` to be accepted.
+/// Opens a *new* connection to `address`, which must be accepted within `limit`.
 ///
 /// # Errors
 ///
-/// Returns how the attempt ended: refused by a live system, or silent.
+/// Returns how the attempt failed: refused by a live system, silent, or not tried for want of this
+/// VM's own resources.
 pub async fn probe_accept(address: SocketAddr, limit: Duration) -> Result<(), ProbeOutcome> {
     match timeout(limit, TcpStream::connect(address)).await {
         Ok(Ok(_)) => Ok(()),
@@ -311,16 +316,17 @@
     }
 }
 
-/// Says how a handshake with the agent of an instance ends on a *new* connection within `limit`.
+/// Makes a handshake with the agent of an instance on a *new* connection within `limit`, and
+/// returns its outcome.
 ///
-/// A connection that is accepted and then closed at once comes from a live system whose process is
-/// gone: that counts as refused. So does one on which another instance answers.
+/// A connection that is accepted and then closed at once comes from a live system on which the
+/// process has ended; it counts as refused. So does one on which another instance answers.
 pub async fn probe_answer(
     address: SocketAddr,
     expected: &InstanceIdentity,
     limit: Duration,
 ) -> ProbeOutcome {
-    match timeout(limit, open_greeted(address, Some(expected), limit)).await {
+    match timeout(limit, open_verified(address, Some(expected), limit)).await {
         Ok(Ok(_)) => ProbeOutcome::Answered,
         Ok(Err(OpenError::Client(ClientError::RequestTimeout))) | Err(_) => ProbeOutcome::Silent,
         Ok(Err(OpenError::Exhausted)) => ProbeOutcome::Untried,
@@ -328,14 +334,14 @@
     }
 }
 
-/// Why a link could not be opened.
+/// The reason why a link could not be opened.
 #[derive(Debug)]
 enum OpenError {
     /// This VM has no descriptor, memory or port for a connection.
     Exhausted,
-    /// The connection or the greeting failed.
+    /// The connection or the identity check failed.
     Client(ClientError),
-    /// This instance answers there in place of the one that is meant.
+    /// This instance answers in place of the expected one.
     OtherInstance(InstanceIdentity),
 }
 
@@ -371,8 +377,8 @@
     }
 }
 
-/// Connects, and makes sure that the expected instance's agent answers.
-async fn open_greeted(
+/// Connects and, if an instance is expected, checks that its agent answers.
+async fn open_verified(
     address: SocketAddr,
     expected: Option<&InstanceIdentity>,
     limit: Duration,
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's view of the daemon: liveness, readiness, metrics and the dump, by HTTP.
+//! The HTTP interface for the platform: liveness, readiness, metrics and the dump.
 //!
 //! | path | answer |
 //! | --- | --- |
@@ -26,28 +26,28 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// How long a dump may take.
+/// Time limit for a dump.
 ///
-/// The tasks that own the state answer between two messages; one that is stuck must not hang the
-/// operator who looks for it.
+/// The tasks that own the state answer between two messages. A stuck task must not hang the
+/// operator who investigates it.
 const DUMP_TIMEOUT: Duration = Duration::from_secs(2);
 
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Asks for a dump: the owner of the state sends it back.
+/// A request for a dump, on which the owner of the state sends it back.
 pub type DumpRequest = oneshot::Sender<Value>;
 
-/// Where dumps come from.
+/// The channel on which dumps are requested.
 pub type DumpSource = mpsc::Sender<DumpRequest>;
 
-/// What the platform's paths show.
+/// The state that the platform's paths show.
 #[derive(Clone, Debug)]
 pub struct PlatformView {
     /// Whether the VM takes work.
     pub ready: watch::Receiver<bool>,
     /// The metrics.
     pub metrics: DaemonMetrics,
-    /// Where dumps come from.
+    /// The channel on which dumps are requested.
     pub dump: DumpSource,
 }
 
@@ -71,7 +71,7 @@
 
 /// Waits until a channel holds true or its sender is gone.
 pub async fn wait_until_true(mut flag: watch::Receiver<bool>) {
-    // A sender that is gone can't ask for anything any more: its parent has ended.
+    // A dropped sender means that the parent has ended, which also ends the wait.
     let _ = flag.wait_for(|set| *set).await;
 }
 
@@ -91,15 +91,15 @@
 }
 
 async fn answer_dump(State(view): State<PlatformView>) -> Response {
-    match timeout(DUMP_TIMEOUT, take_dump(&view.dump)).await {
+    match timeout(DUMP_TIMEOUT, request_dump(&view.dump)).await {
         Ok(Some(dump)) => Json(dump).into_response(),
         Ok(None) => (StatusCode::SERVICE_UNAVAILABLE, "shutting down\n").into_response(),
         Err(_) => (StatusCode::GATEWAY_TIMEOUT, "no dump in time\n").into_response(),
     }
 }
 
-/// Takes one dump; `None` means that the owner of the state has ended.
-pub async fn take_dump(source: &DumpSource) -> Option<Value> {
+/// Requests one dump; `None` means that the owner of the state has ended.
+pub async fn request_dump(source: &DumpSource) -> Option<Value> {
     let (request, reply) = oneshot::channel();
     source.send(request).await.ok()?;
     reply.await.ok()
--- a/crates/daemon/src/proposer.rs
+++ b/crates/daemon/src/proposer.rs
@@ -1,4 +1,4 @@
-//! Brings a command to the control VMs.
+//! Proposes commands to the control VMs.
 
 use crate::directory::ControlDirectory;
 use crate::peers::LinkError;
@@ -15,14 +15,14 @@
 pub(crate) struct CommandProposer {
     pub(crate) links: PeerLinks,
     pub(crate) directory: ControlDirectory,
-    /// How long one control VM may take to answer.
+    /// The time limit for the answer of one control VM.
     pub(crate) limit: Duration,
 }
 
 impl CommandProposer {
-    /// Asks one control VM after the other until one has proposed the command.
+    /// Asks the control VMs one after the other until one has proposed the command.
     ///
-    /// An answer lost on its way is reported as unknown: the command may be committed.
+    /// A lost answer is reported as unknown: the command may be committed.
     pub(crate) async fn propose(&self, command: &CatalogCommand) -> CommandReply {
         for address in self.directory.addresses() {
             let request = CommandRequest {
--- a/crates/daemon/src/readiness.rs
+++ b/crates/daemon/src/readiness.rs
@@ -1,4 +1,5 @@
-//! Readiness, as the platform and the metrics show it.
+//! Publishes this VM's readiness, and the metrics of its lease, catalog revision and failed
+//! invariants.
 
 use crate::clock::NodeClock;
 use crate::log_event;
@@ -9,10 +10,11 @@
 use tokio::sync::watch;
 use tokio::time::interval;
 
-/// How often readiness and the lease's metrics are brought up to date.
-const READINESS_EVERY: Duration = Duration::from_millis(50);
+/// Interval at which readiness and these metrics are updated.
+const READINESS_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Keeps readiness and the lease's metrics up to date.
+/// Updates readiness and the metrics at an interval. A VM is ready while it holds a lease and
+/// doesn't drain.
 pub(crate) struct ReadinessTask {
     pub(crate) clock: NodeClock,
     pub(crate) metrics: DaemonMetrics,
@@ -24,25 +26,25 @@
 
 impl ReadinessTask {
     pub(crate) async fn run(mut self) {
-        let mut ticker = interval(READINESS_EVERY);
+        let mut ticker = interval(READINESS_INTERVAL);
         loop {
             tokio::select! {
                 _ = ticker.tick() => {}
                 _ = self.stop.wait_for(|set| *set) => break,
             }
             let view = self.view.borrow().clone();
-            let held = view.may_serve(self.clock.now());
-            let ready = held && !view.draining;
-            self.metrics.set_lease_held(held);
+            let lease_held = view.may_serve(self.clock.now());
+            let ready = lease_held && !view.draining;
+            self.metrics.set_lease_held(lease_held);
             self.metrics.set_catalog_revision(view.copy.revision());
-            self.show_broken_invariants();
+            self.count_broken_invariants();
             if self.ready.send_replace(ready) != ready {
                 log_event!(Level::Info, "readiness", ready = ready);
             }
         }
     }
 
-    fn show_broken_invariants(&mut self) {
+    fn count_broken_invariants(&mut self) {
         let broken = ragwort_control::broken_invariants();
         for _ in self.broken_invariants..broken {
             self.metrics.count_invariant_failure("control");
--- a/crates/daemon/src/server.rs
+++ b/crates/daemon/src/server.rs
@@ -1,6 +1,7 @@
-//! The calls that this daemon answers: other VMs', endpoints' and operators'.
+//! Serves the calls of other VMs, endpoints' agents and operators.
 //!
-//! Each call becomes a message to the task that owns the matter, and waits for its answer.
+//! Each call is sent as a message to the task that owns the state in question, and waits for its
+//! answer.
 
 use crate::control::ControlEvent;
 use crate::control::DocumentQuestion;
@@ -87,17 +88,18 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Connections that this VM answers: other VMs, endpoints' agents, operators. At 630 VMs every one
-/// may hold a link for statements and one for control, and an agent per instance one more.
+/// The most connections that this VM serves: other VMs, endpoints' agents, operators. At 630 VMs
+/// each of them may hold one link for statements and one for control, and an agent per instance one
+/// more.
 const SERVER_CONNECTIONS: u32 = 8_192;
 
-/// JSON-RPC's code for a call that this daemon can't answer now.
+/// JSON-RPC error code of a call that this daemon can't answer now.
 const UNAVAILABLE: i32 = -32_000;
 
-/// How long a call of one task may take before the caller is told that it failed.
+/// Time limit for each call to another VM or task on behalf of an operator.
 const OPERATOR_LIMIT: Duration = Duration::from_secs(5);
 
-/// The ways from the server to the tasks of this daemon.
+/// Channels and handles to the tasks that answer calls.
 #[derive(Clone)]
 pub struct ServerRoutes {
     /// The daemon's settings.
@@ -106,7 +108,7 @@
     pub control: Option<mpsc::Sender<ControlEvent>>,
     /// The leaseholders' manager.
     pub leaseholders: mpsc::Sender<LeaseholderEvent>,
-    /// The journals held as a standby.
+    /// The task that holds journals as a standby.
     pub standby: mpsc::Sender<StandbyEvent>,
     /// The gateway.
     pub gateway: Arc<Gateway>,
@@ -116,21 +118,21 @@
     pub links: PeerLinks,
     /// Where the control VMs are.
     pub directory: ControlDirectory,
-    /// What this VM knows.
+    /// This VM's catalog copy and lease.
     pub view: watch::Receiver<MemberView>,
     /// Starts the drain.
     pub drain: watch::Sender<bool>,
-    /// Collects the state of all tasks.
+    /// Collects the state of all tasks, for operators.
     pub dump: NodeDump,
-    /// The announcements that were passed on to standbys.
+    /// The announcements that were already passed on to standbys.
     pub relayed: Arc<Mutex<RelayedAnnouncements>>,
 }
 
-/// Starts to answer calls on the daemon's peers address.
+/// Starts to serve calls on the daemon's address for peers.
 ///
 /// # Errors
 ///
-/// Returns the operating system's error if the address can't be listened on.
+/// Returns the operating system's error if the daemon can't listen on the address.
 pub async fn start_server(routes: ServerRoutes) -> io::Result<ServerHandle> {
     let config = ServerConfig::builder()
         .max_connections(SERVER_CONNECTIONS)
@@ -169,7 +171,7 @@
         answer.await.map_err(|_| stopping())
     }
 
-    async fn hand_to_leaseholder(&self, request: StatementRequest) -> Option<StatementReply> {
+    async fn send_to_leaseholder(&self, request: StatementRequest) -> Option<StatementReply> {
         let (reply, answer) = oneshot::channel();
         let refused = reply_with(
             &request,
@@ -191,16 +193,16 @@
             .send(event(reply))
             .await
             .map_err(|_| stopping())?;
-        // It leaves unanswered what is meant for another VM.
-        let untaken = || unavailable("this VM is stopping, or another one is meant");
-        answer.await.map_err(|_| untaken())
+        // The standby task leaves calls that are meant for another VM unanswered.
+        let unanswered = || unavailable("this VM is stopping, or another one is meant");
+        answer.await.map_err(|_| unanswered())
     }
 
-    /// Proposes a command at this VM's control role or at a control VM.
+    /// Proposes a command to the control VMs in turn, starting with this one if it has the role.
     ///
-    /// An answer lost on the way is reported as unknown: the command may be committed, and a
-    /// resend under the same id gets the first answer.
-    pub async fn propose_anywhere(&self, command: &CatalogCommand) -> CommandReply {
+    /// A lost answer is reported as unknown: the command may be committed, and a resend under the
+    /// same change id gets the first answer.
+    pub async fn propose_to_control_vms(&self, command: &CatalogCommand) -> CommandReply {
         let mut worst = CommandReply::NoLeader;
         for address in self.directory.addresses() {
             let request = CommandRequest {
@@ -220,16 +222,17 @@
         worst
     }
 
-    /// Proposes a whole configuration.
+    /// Proposes a whole configuration document.
     pub async fn replace_document(&self, mut document: ContractDocument) -> DocumentReply {
-        // A faulty one needs no entry in the log: its faults follow from its content.
+        // A faulty document needs no entry in the log, since its faults follow from its content
+        // alone.
         let faults = document.find_faults();
         if !faults.is_empty() {
             return DocumentReply::Invalid(faults.iter().map(ToString::to_string).collect());
         }
         document.seal = Some(DigestSeal(rand::random()));
         let command = CatalogCommand::ApplyDocument(Box::new(document));
-        match self.propose_anywhere(&command).await {
+        match self.propose_to_control_vms(&command).await {
             CommandReply::Committed(CatalogOutcome::DocumentAccepted(acceptance)) => {
                 DocumentReply::Accepted(acceptance)
             }
@@ -242,7 +245,7 @@
         }
     }
 
-    /// Returns the whole configuration, confirmed by a majority.
+    /// Returns the whole configuration document, as confirmed by a majority.
     pub async fn find_document(&self) -> DocumentReading {
         if self.control.is_none() {
             return self.ask_for_document().await;
@@ -266,10 +269,11 @@
         DocumentReading::Unsure
     }
 
-    /// Takes an announcement in, and passes it on to the VMs that serve the group.
+    /// Accepts an announcement and passes it on to the VMs that serve the group.
     ///
     /// An endpoint may announce itself to any VM. Only the group's leaseholder can keep work away
-    /// from one that leaves, so the reply says whether it was told.
+    /// from a leaving endpoint, so the reply says whether the leaseholder has received the
+    /// announcement.
     pub async fn spread_announcement(
         &self,
         announcement: EndpointAnnouncement,
@@ -284,18 +288,18 @@
             return reply;
         };
         reply.leaseholder_told = placement.leaseholder == self.settings.vm;
-        let standbys = self.standbys_to_tell(&placement, &passed);
+        let standbys = self.due_standbys(&placement, &passed);
         let vms = standbys.iter().chain([&placement.leaseholder]);
         let passing = vms
             .filter(|vm| **vm != self.settings.vm)
             .map(|vm| self.pass_on(vm, passed.clone()));
-        let told = join_all(passing).await;
-        reply.leaseholder_told |= told.contains(&true);
+        let received = join_all(passing).await;
+        reply.leaseholder_told |= received.contains(&true);
         reply
     }
 
-    /// Returns the standbys that an announcement is passed on to.
-    fn standbys_to_tell(
+    /// Returns the standbys to which an announcement is due to be passed on.
+    fn due_standbys(
         &self,
         placement: &GroupPlacement,
         announcement: &EndpointAnnouncement,
@@ -309,7 +313,8 @@
 
     fn find_placement(&self, group: &GroupName) -> Option<GroupPlacement> {
         let view = self.view.borrow();
-        // A copy that is out of date may name a former leaseholder, which can't keep work away.
+        // Without a lease the copy may be out of date and name a former leaseholder, which can't
+        // keep work away.
         let record = view.copy.group(group);
         let present = view.may_serve(self.dump.clock.now());
         record
@@ -317,7 +322,7 @@
             .map(|record| record.placement.clone())
     }
 
-    /// Passes an announcement on to a VM, and says whether the group's leaseholder has taken it.
+    /// Passes an announcement on to a VM, and says whether the group's leaseholder has received it.
     async fn pass_on(&self, vm: &VmName, announcement: EndpointAnnouncement) -> bool {
         let member = self.view.borrow().copy.member(vm).cloned();
         let Some(member) = member else {
@@ -348,7 +353,7 @@
         }
         match formed {
             0 => FormReply::Refused("no control VM wrote the first voter set".to_string()),
-            // One that was written reaches the others through the agreed log.
+            // A voter set that one VM has written reaches the others through the replicated log.
             _ => FormReply::Formed,
         }
     }
@@ -357,7 +362,7 @@
 #[async_trait]
 impl StatementRunner for ServerRoutes {
     async fn run_here(&self, request: StatementRequest) -> Option<StatementReply> {
-        // A transaction is one operation, whatever it does.
+        // A transaction counts as one operation of its account, however many statements it has.
         let begins = matches!(
             request.step,
             TransactionStep::Single | TransactionStep::Begin(_)
@@ -368,7 +373,7 @@
         {
             return Some(reply_with(&request, RequestVerdict::NotRun(refusal)));
         }
-        let reply = self.hand_to_leaseholder(request).await;
+        let reply = self.send_to_leaseholder(request).await;
         let not_run = |reply: &StatementReply| matches!(reply.verdict, RequestVerdict::NotRun(_));
         if let Some(account) = &account
             && reply.as_ref().is_some_and(not_run)
@@ -492,7 +497,7 @@
             .links
             .call_instance(agent_address, &expected, limit, call);
         match answer.await {
-            // Answered with false, it would count against the primary.
+            // Nothing is known about the instance; false would count against the primary.
             Err(LinkError::Exhausted) => Err(unavailable(&LinkError::Exhausted.to_string())),
             reply => Ok(reply.is_ok()),
         }
@@ -507,7 +512,7 @@
 impl OperatorApiServer for ServerRoutes {
     async fn apply_contract(&self, change: ContractChange) -> RpcResult<CommandReply> {
         Ok(self
-            .propose_anywhere(&CatalogCommand::ApplyContract(change))
+            .propose_to_control_vms(&CatalogCommand::ApplyContract(change))
             .await)
     }
 
@@ -527,7 +532,8 @@
         {
             return Ok(status);
         }
-        // Only the leader knows; it answers without asking on, so this can't go in a circle.
+        // Only the leader knows the status. It answers `leader_force` without asking other VMs, so
+        // the calls can't form a loop.
         let own = self.settings.listen.peers;
         let others = self.directory.addresses().into_iter();
         for address in others.filter(|address| *address != own) {
