--- a/crates/daemon/src/service.rs
+++ b/crates/daemon/src/service.rs
@@ -1,4 +1,7 @@
-//! The gateway as the caller edge sees it: sessions, limits, statements and cancels.
+//! The gateway as the caller edges use it: sessions, limits, statements and cancels.
+//!
+//! It counts the sessions of each customer and the statements in flight, and refuses those that
+//! exceed the limits of the customer's contract on this gateway.
 
 use crate::callers::DescribeReply;
 use crate::callers::DescribeRequest;
@@ -38,27 +41,30 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Cancels that may wait to be passed on; a cancel that finds no room is lost, as it may always be.
-const CANCEL_QUEUE: usize = 256;
+/// Capacity of the queue of cancels. Cancels are best effort: one that finds the queue full is
+/// dropped.
+const CANCEL_QUEUE_CAPACITY: usize = 256;
 
-/// When a caller should come back that found this VM without a lease.
-const LEASE_RETURN_MS: u64 = 500;
+/// The time after which a caller that was refused for want of a lease should come back, in
+/// milliseconds.
+const NO_LEASE_RETRY_MS: u64 = 500;
 
-/// When a caller should come back that found all its customer's sessions taken.
-const SESSION_RETURN_MS: u64 = 1_000;
+/// The time after which a caller that exceeded its customer's session limit should come back, in
+/// milliseconds.
+const SESSION_LIMIT_RETRY_MS: u64 = 1_000;
 
-/// The caller edge's way into the gateway.
+/// Serves the caller edges through a gateway.
 pub struct GatewayService {
     gateway: Arc<Gateway>,
     clock: NodeClock,
     view: watch::Receiver<MemberView>,
-    /// Whether callers are being turned away for good.
+    /// Whether this VM refuses new sessions because it is shutting down.
     closing: watch::Receiver<bool>,
     tables: Mutex<ServiceTables>,
-    cancels: mpsc::Sender<CancelOrder>,
+    cancels: mpsc::Sender<QueuedCancel>,
 }
 
-/// What the service counts.
+/// The sessions and statements that the service counts.
 #[derive(Default)]
 struct ServiceTables {
     sessions: HashMap<CustomerName, u32>,
@@ -66,25 +72,25 @@
     flights: FlightLimiter,
 }
 
-/// A cancel on its way to a leaseholder.
-struct CancelOrder {
+/// A cancel that waits to be sent to a leaseholder.
+struct QueuedCancel {
     group: GroupName,
     id: StatementId,
 }
 
 impl GatewayService {
-    /// Creates the service and the task that passes cancels on, which the caller joins.
+    /// Creates the service and the task that sends cancels, which the caller joins.
     pub fn start(
         gateway: Arc<Gateway>,
         clock: NodeClock,
         view: watch::Receiver<MemberView>,
         closing: watch::Receiver<bool>,
     ) -> (Self, JoinHandle<()>) {
-        let (cancels, mut orders) = mpsc::channel::<CancelOrder>(CANCEL_QUEUE);
-        let carrier = Arc::clone(&gateway);
+        let (cancels, mut queue) = mpsc::channel::<QueuedCancel>(CANCEL_QUEUE_CAPACITY);
+        let cancel_gateway = Arc::clone(&gateway);
         let task = tokio::spawn(async move {
-            while let Some(order) = orders.recv().await {
-                carrier.cancel(order.group, order.id).await;
+            while let Some(cancel) = queue.recv().await {
+                cancel_gateway.cancel(cancel.group, cancel.id).await;
             }
         });
         let service = Self {
@@ -102,7 +108,7 @@
         self.tables.lock().expect("no holder of this lock panics")
     }
 
-    /// Takes a statement in against the limits of this gateway.
+    /// Admits a statement under this gateway's limits on statements in flight.
     fn admit(
         &self,
         group: &GroupName,
@@ -123,7 +129,7 @@
 }
 
 impl GatewayService {
-    /// Counts one more session of a customer, if its contract allows.
+    /// Counts one more session of a customer if its contract allows it.
     fn count_session(&self, contract: &CustomerContract) -> Result<(), SessionRefusal> {
         let mut tables = self.tables();
         let open = tables
@@ -132,18 +138,19 @@
             .or_default();
         if *open >= contract.session_limit {
             return Err(SessionRefusal::TooManySessions {
-                come_back_after_ms: SESSION_RETURN_MS,
+                come_back_after_ms: SESSION_LIMIT_RETRY_MS,
             });
         }
         *open += 1;
         Ok(())
     }
 
-    /// Finds the contract of a session that is to be opened.
+    /// Returns the contract under which a session may be opened.
     ///
-    /// A gateway without a lease takes the sessions of customers that it knows: it may still bring their
-    /// statements to another gateway, and the balancer sends callers here when few others are ready. It
-    /// never says that there is no such customer; that may have changed since.
+    /// A gateway without a lease accepts sessions of the customers that it knows: it may still send
+    /// their statements through another gateway, and the balancer sends callers here when few other
+    /// VMs are ready. It never reports that a customer doesn't exist, because its catalog copy may
+    /// be out of date.
     fn find_contract<'v>(
         &self,
         view: &'v MemberView,
@@ -157,16 +164,16 @@
             None if view.may_serve(self.clock.now()) => Err(SessionRefusal::NoContract),
             None if view.copy.revision() == CatalogRevision::default() => {
                 Err(SessionRefusal::Starting {
-                    come_back_after_ms: LEASE_RETURN_MS,
+                    come_back_after_ms: NO_LEASE_RETRY_MS,
                 })
             }
             Some(_) | None => Err(SessionRefusal::NotReady {
-                come_back_after_ms: LEASE_RETURN_MS,
+                come_back_after_ms: NO_LEASE_RETRY_MS,
             }),
         }
     }
 
-    fn discount_session(&self, customer: &CustomerName) {
+    fn uncount_session(&self, customer: &CustomerName) {
         let mut tables = self.tables();
         if let Some(open) = tables.sessions.get_mut(customer) {
             *open = open.saturating_sub(1);
@@ -174,8 +181,8 @@
     }
 }
 
-/// Finds the account whose key a caller shows.
-fn find_caller(view: &MemberView, key: &AccountKey) -> SessionCaller {
+/// Identifies the account that a caller's key belongs to.
+fn identify_caller(view: &MemberView, key: &AccountKey) -> SessionCaller {
     let accounts = view.copy.accounts();
     let digest = accounts.digest(key);
     let account = digest.and_then(|digest| accounts.find_holder(&digest));
@@ -197,13 +204,13 @@
     ) -> Result<SessionCaller, SessionRefusal> {
         let view = self.view.borrow();
         let contract = self.find_contract(&view, database)?;
-        let caller = find_caller(&view, key);
+        let caller = identify_caller(&view, key);
         if caller.account.is_none() && !contract.callers.is_open() {
-            // One without a lease may not have heard of the account yet.
+            // Without a lease the catalog copy may lack a new account.
             return Err(match view.may_serve(self.clock.now()) {
                 true => SessionRefusal::UnknownKey,
                 false => SessionRefusal::NotReady {
-                    come_back_after_ms: LEASE_RETURN_MS,
+                    come_back_after_ms: NO_LEASE_RETRY_MS,
                 },
             });
         }
@@ -217,7 +224,7 @@
             (Some(account), Some(digest)) => {
                 view.copy.accounts().find_holder(digest) == Some(account)
             }
-            // A statement under a contract that is gone is refused for that.
+            // If the contract was removed, the statement itself is refused for that reason.
             _ => view
                 .copy
                 .contract(database)
@@ -230,7 +237,7 @@
     }
 
     fn release(&self, database: &CustomerName) {
-        self.discount_session(database);
+        self.uncount_session(database);
     }
 
     fn sends_sessions_away(&self, notice: Duration) -> bool {
@@ -244,7 +251,7 @@
     }
 
     async fn run(&self, mut request: StatementRequest) -> StatementReply {
-        // With a lease the accounts are those in force, and the key was looked up in them.
+        // With a lease the catalog copy is current, and the key was checked against it.
         if self.view.borrow().may_serve(self.clock.now()) {
             request.proof = None;
         }
@@ -260,7 +267,7 @@
         if !contract.groups.contains(&opening.group) {
             return Err(SessionRefusal::UnknownGroup);
         }
-        // Callers of this interface show no key.
+        // This protocol carries no account key.
         if !contract.callers.is_open() {
             return Err(SessionRefusal::UnknownKey);
         }
@@ -268,7 +275,7 @@
     }
 
     fn close_session(&self, opening: &SessionOpening) {
-        self.discount_session(&opening.customer);
+        self.uncount_session(&opening.customer);
     }
 
     async fn execute(&self, request: StatementRequest) -> StatementReply {
@@ -315,7 +322,7 @@
     fn cancel(&self, id: StatementId) {
         let group = self.tables().running.get(&id).cloned();
         if let Some(group) = group {
-            let _ = self.cancels.try_send(CancelOrder { group, id });
+            let _ = self.cancels.try_send(QueuedCancel { group, id });
         }
     }
 }
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,7 +1,7 @@
 //! The daemon's settings, read from one YAML file at start.
 //!
-//! Unknown settings and bad values are refused, and all of them are reported at once. Only a text
-//! that isn't YAML at all is reported with a single fault, because the library stops there.
+//! Unknown settings and invalid values are refused, and all of them are reported at once. Only a
+//! text that isn't valid YAML is reported with a single fault, because the parser stops there.
 
 use crate::settings_tree::SectionReader;
 use crate::settings_tree::TreeNode;
@@ -19,13 +19,13 @@
 pub use crate::settings_tree::SettingFault;
 
 /// The most control VMs that a system may have.
-pub const MOST_CONTROL_VMS: usize = 7;
+pub const MAX_CONTROL_VMS: usize = 7;
 
-/// The least number of heartbeats in a lease.
+/// The fewest heartbeats in a lease.
 ///
-/// With fewer, one lost packet and one late one in a row would end the lease of a healthy VM, and
-/// its groups would move for nothing.
-const LEAST_HEARTBEATS_IN_LEASE: u64 = 3;
+/// With fewer, one lost packet followed by a late one would end the lease of a healthy VM, and its
+/// groups would move without need.
+const MIN_HEARTBEATS_IN_LEASE: u64 = 3;
 
 const HOUR_MS: u64 = 3_600_000;
 
@@ -56,60 +56,61 @@
     pub vm: VmName,
     /// The VM's failure domain.
     pub domain: DomainName,
-    /// What the daemon does.
+    /// The daemon's roles.
     pub roles: RoleSettings,
-    /// Where the daemon listens.
+    /// The addresses on which the daemon listens.
     pub listen: ListenSettings,
-    /// The control VMs, where an operator lists and forms them.
+    /// The control VMs, if an operator lists them and forms the voter set.
     pub control: Vec<ControlAddress>,
-    /// How the control VMs find one another, where nobody lists them.
+    /// How the control VMs find one another, if they aren't listed.
     pub formation: Option<FormationSettings>,
-    /// Where a control VM keeps its files.
+    /// The folder in which a control VM keeps its files.
     pub data_folder: Option<PathBuf>,
     /// Intervals and time-outs.
     pub timing: TimingSettings,
     /// Limits that protect the daemon itself.
     pub limits: LimitSettings,
-    /// The log.
+    /// Settings of the log.
     pub log: LogSettings,
 }
 
-/// What a daemon does.
+/// The roles of a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RoleSettings {
-    /// Whether it takes callers' connections.
+    /// Whether it accepts callers' connections.
     pub gateway: bool,
-    /// Whether it holds the agreed log.
+    /// Whether it holds the replicated log.
     pub control: bool,
     /// Whether it may lead groups.
     pub leaseholder: bool,
 }
 
-/// How control VMs that nobody lists find one another.
+/// How control VMs that aren't listed find one another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FormationSettings {
-    /// Addresses for other VMs of some control VMs; some may be out of date.
+    /// Peer addresses of some control VMs; some may be out of date.
     pub seeds: Vec<SocketAddr>,
-    /// Whether the whole system starts for the first time. Only then may a log be formed.
+    /// Whether the whole system starts for the first time. Only then may a voter set be formed
+    /// without an operator.
     pub first_start: bool,
-    /// With fewer voters than this no configuration is accepted.
+    /// The fewest voters that a voter configuration may have.
     pub least_voters: usize,
 }
 
-/// Where a daemon listens.
+/// The addresses on which a daemon listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListenSettings {
-    /// For callers; only a gateway has it.
+    /// For callers; required on a gateway.
     pub callers: Option<SocketAddr>,
     /// For other VMs, endpoints' agents and operators.
     pub peers: SocketAddr,
     /// For the platform: readiness, metrics, dump.
     pub platform: SocketAddr,
-    /// For statements from gateways in compact frames; they come as remote calls where there is none.
+    /// For gateways' statements in compact frames; without it they arrive as remote calls.
     pub statements: Option<SocketAddr>,
 }
 
-/// A control VM and its address for other VMs.
+/// A control VM and its peer address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlAddress {
     /// The VM.
@@ -121,29 +122,30 @@
 /// Intervals and time-outs, in milliseconds or in ticks of `tick_ms`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimingSettings {
-    /// How often a member renews its lease.
+    /// The interval at which a member renews its lease.
     pub heartbeat_ms: u64,
-    /// How long a lease runs from the moment its renewal was sent.
+    /// The length of a lease, from the moment at which its renewal was sent.
     pub lease_ms: u64,
-    /// The step of the control VMs' clock.
+    /// The length of a tick of the control VMs' logical clock.
     pub tick_ms: u64,
     /// The shortest silence of a control leader before another stands for election, in ticks.
     pub election_ticks: u64,
-    /// How often the control leader sends to a silent follower, in ticks.
+    /// The interval of the control leader's heartbeats to its followers, in ticks.
     pub agreement_heartbeat_ticks: u64,
-    /// How long a probe waits for its answer.
+    /// The time limit for the answer to a probe.
     pub probe_timeout_ms: u64,
-    /// How long an endpoint may be silent before it is taken out of use.
+    /// The time without an announcement after which an endpoint is taken out of use.
     pub announce_lost_ms: u64,
-    /// How long a connection may be idle before it is pinged.
+    /// The idle time after which a connection is pinged.
     pub idle_ping_ms: u64,
-    /// How long a transaction may run no statement before it is ended.
+    /// The time without a statement after which a transaction is ended.
     pub idle_transaction_ms: u64,
-    /// How long callers are still taken at shutdown after the VM has said that it isn't ready.
+    /// The time for which callers are still accepted at shutdown after the VM has reported that it
+    /// isn't ready.
     pub drain_notice_ms: u64,
-    /// How long work in flight may take at shutdown.
+    /// The time limit for work in flight at shutdown.
     pub drain_ms: u64,
-    /// How long a connection may take to open.
+    /// The time limit for opening a connection.
     pub connect_timeout_ms: u64,
 }
 
@@ -167,24 +169,25 @@
     }
 }
 
-/// Limits that protect the daemon itself; callers' limits stand in their contracts.
+/// Limits that protect the daemon itself; the limits of callers are in their contracts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitSettings {
-    /// The most connections of callers.
+    /// The most open connections of callers.
     pub connections: u64,
     /// The longest message of a caller, in bytes.
     pub message_bytes: u64,
-    /// How long a caller's start-up may take, in milliseconds.
+    /// The time limit for a caller's start-up, in milliseconds.
     pub startup_ms: u64,
-    /// How long a message may take from its first byte to its last, in milliseconds; also how
-    /// long a caller may take to receive an answer.
+    /// The time limit for a message from its first byte to its last, and for a caller to receive an
+    /// answer, in milliseconds.
     pub statement_ms: u64,
-    /// Operations of an account beyond its limit that are tolerated in a span, over all VMs. They are used
-    /// while it isn't known what was lent; with none, callers may wait or be refused then.
+    /// Operations of an account beyond its limit that are tolerated within a span, over all VMs.
+    /// They are used while a ledger doesn't know what was lent; with none, callers may wait or be
+    /// refused meanwhile.
     pub account_slack: u64,
-    /// The same as a part of what the limit allows, in thousandths.
+    /// The same tolerance as a fraction of what the limit allows, in thousandths.
     pub account_overshoot: u64,
-    /// The descriptors that the process may hold; zero for the limit that the system sets it.
+    /// The file descriptors that the process may hold; zero for the system's limit.
     pub descriptors: u64,
 }
 
@@ -202,12 +205,12 @@
     }
 }
 
-/// The log.
+/// Settings of the daemon's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogSettings {
-    /// The least level that is written.
+    /// The least severe level that is written.
     pub level: LevelFilter,
-    /// The file; standard output if none.
+    /// The file; `None` for standard output.
     pub file: Option<PathBuf>,
 }
 
@@ -221,21 +224,21 @@
 }
 
 impl DaemonSettings {
-    /// Returns the seeds of the formation; none where an operator lists the control VMs.
+    /// Returns the seeds of the formation; none if an operator lists the control VMs.
     pub fn seeds(&self) -> &[SocketAddr] {
         self.formation
             .as_ref()
             .map_or(&[], |formation| &formation.seeds)
     }
 
-    /// Says whether this VM may take part in forming a log without an operator.
+    /// Says whether this VM may take part in forming a voter set without an operator.
     pub fn is_first_start(&self) -> bool {
         self.formation
             .as_ref()
             .is_some_and(|formation| formation.first_start)
     }
 
-    /// Returns the number of voters below which no configuration is accepted.
+    /// Returns the fewest voters that a voter configuration may have.
     pub fn least_voters(&self) -> usize {
         self.formation
             .as_ref()
@@ -246,7 +249,7 @@
     ///
     /// # Errors
     ///
-    /// Returns every fault found; a file that can't be read is one fault without a place.
+    /// Returns every fault found; a file that can't be read is one fault without a position.
     pub fn read_file(path: &Path) -> Result<Self, Vec<SettingFault>> {
         let text = fs::read_to_string(path).map_err(|error| {
             let message = format!("{}: {error}", path.display());
@@ -357,11 +360,11 @@
             ),
         }
     }
-    let most = MOST_CONTROL_VMS as u64;
+    let max = MAX_CONTROL_VMS as u64;
     let settings = FormationSettings {
         seeds,
         first_start: take_flag(&mut section, "first_start", false),
-        least_voters: section.take_number("least_voters", 1, 1..=most) as usize,
+        least_voters: section.take_number("least_voters", 1, 1..=max) as usize,
     };
     faults.extend(section.finish());
     settings
@@ -414,9 +417,9 @@
     let nodes = root.take_list("control");
     let count = nodes.len();
     let missing = count == 0 && !formed_by_seeds;
-    if missing || count > MOST_CONTROL_VMS {
+    if missing || count > MAX_CONTROL_VMS {
         let message =
-            format!("control: expected 1 to {MOST_CONTROL_VMS} control VMs, found {count}");
+            format!("control: expected 1 to {MAX_CONTROL_VMS} control VMs, found {count}");
         root.note(root.location(), message);
     }
     let mut addresses: Vec<ControlAddress> = Vec::new();
@@ -521,11 +524,11 @@
 }
 
 fn check_timing(section: &mut SectionReader, timing: TimingSettings) {
-    let least_lease = timing.heartbeat_ms * LEAST_HEARTBEATS_IN_LEASE;
-    if timing.lease_ms < least_lease {
+    let min_lease_ms = timing.heartbeat_ms * MIN_HEARTBEATS_IN_LEASE;
+    if timing.lease_ms < min_lease_ms {
         let message = format!(
-            "timing.lease_ms: expected at least {LEAST_HEARTBEATS_IN_LEASE} heartbeats \
-             ({least_lease}), found {}",
+            "timing.lease_ms: expected at least {MIN_HEARTBEATS_IN_LEASE} heartbeats \
+             ({min_lease_ms}), found {}",
             timing.lease_ms
         );
         section.note(section.location(), message);
--- a/crates/daemon/src/settings_tree.rs
+++ b/crates/daemon/src/settings_tree.rs
@@ -1,8 +1,8 @@
-//! A YAML tree that remembers where each value stands, and a reader that gathers faults.
+//! A YAML tree that records the position of each value, and a reader that collects faults.
 //!
-//! A derived deserializer stops at its first fault, so an operator would mend a file fault by
-//! fault, with one start of the daemon between each two. Here the library parses the text into a
-//! tree, and a [`SectionReader`] takes typed values out of it and notes every fault on the way.
+//! A derived deserializer stops at its first fault, so an operator would correct a file one fault
+//! at a time, with a start of the daemon after each. Here the parser builds a tree, and a
+//! [`SectionReader`] takes typed values out of it and collects every fault on the way.
 
 use serde::Deserialize;
 use serde::Deserializer;
@@ -18,7 +18,7 @@
 /// A fault in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingFault {
-    /// The line, counted from 1; zero when the fault has no place, as for a file that is missing.
+    /// The line, counted from 1; zero if the fault has no position, as for a missing file.
     pub line: u64,
     /// The column, counted from 1.
     pub column: u64,
@@ -27,7 +27,7 @@
 }
 
 impl SettingFault {
-    /// Creates a fault that has no place in the file.
+    /// Creates a fault without a position in the file.
     pub fn without_place(message: impl Into<String>) -> Self {
         Self {
             line: 0,
@@ -58,7 +58,7 @@
     }
 }
 
-/// A value of the tree with its place.
+/// A value of the tree with its position.
 pub(crate) type TreeNode = Spanned<TreeValue>;
 
 /// A value of the tree.
@@ -142,7 +142,7 @@
 ///
 /// # Errors
 ///
-/// Returns the library's first fault when the text isn't YAML; the library can't go on after it.
+/// Returns the first fault if the text isn't valid YAML; the parser can't go on after it.
 pub(crate) fn parse_tree(text: &str) -> Result<TreeNode, SettingFault> {
     serde_saphyr::from_str(text).map_err(|error| {
         let message = error.without_snippet().to_string();
@@ -153,10 +153,10 @@
     })
 }
 
-/// The place and the taken entries of one map.
+/// Reads the entries of one map and collects the faults found in them.
 ///
-/// Each `take_` method removes its key, so that [`SectionReader::finish`] can name the keys that
-/// nobody asked for.
+/// Each `take_` method removes its key, so that [`SectionReader::finish`] can report the keys that
+/// no setting uses.
 pub(crate) struct SectionReader {
     path: String,
     location: Location,
@@ -166,7 +166,7 @@
 }
 
 impl SectionReader {
-    /// Starts to read a map; anything else is a fault and reads as an empty map.
+    /// Creates a reader of a map; any other value is a fault and reads as an empty map.
     pub(crate) fn new(path: &str, node: TreeNode) -> Self {
         let mut reader = Self {
             path: path.to_owned(),
@@ -188,12 +188,12 @@
         reader
     }
 
-    /// Returns the place of the whole section.
+    /// Returns the position of the whole section.
     pub(crate) fn location(&self) -> Location {
         self.location
     }
 
-    /// Notes a fault at a place.
+    /// Records a fault at a position.
     pub(crate) fn note(&mut self, location: Location, message: String) {
         self.faults.push(SettingFault::at(location, message));
     }
@@ -201,11 +201,11 @@
     /// Takes a value of any shape; an empty value counts as absent.
     pub(crate) fn take_node(&mut self, key: &'static str) -> Option<TreeNode> {
         self.known.push(key);
-        let place = self
+        let index = self
             .entries
             .iter()
             .position(|entry| entry.key.value == key)?;
-        let node = self.entries.remove(place).value;
+        let node = self.entries.remove(index).value;
         (!matches!(node.value, TreeValue::Empty)).then_some(node)
     }
 
@@ -227,7 +227,7 @@
         }
     }
 
-    /// Takes a section, or an empty one in its place, so that its defaults apply.
+    /// Takes a section, or an empty one if it is absent, so that its defaults apply.
     pub(crate) fn take_optional_section(&mut self, key: &'static str) -> SectionReader {
         self.take_section(key)
             .unwrap_or_else(|| self.empty_section(key))
@@ -248,7 +248,7 @@
         }
     }
 
-    /// Takes a scalar that `T` can be made of; a scalar that it can't is a fault.
+    /// Takes a scalar and parses it as `T`; one that can't be parsed is a fault.
     pub(crate) fn take_scalar<T: FromStr>(
         &mut self,
         key: &'static str,
@@ -311,7 +311,7 @@
         number.value
     }
 
-    /// Ends the section: names the keys that nobody asked for and returns all faults.
+    /// Ends the section: reports the unknown keys and returns all faults.
     pub(crate) fn finish(mut self) -> Vec<SettingFault> {
         let known = self.known.join(", ");
         for entry in std::mem::take(&mut self.entries) {
--- a/crates/daemon/src/sockets.rs
+++ b/crates/daemon/src/sockets.rs
@@ -1,4 +1,4 @@
-//! Options of the TCP sockets towards callers, endpoints and other VMs.
+//! Options of the TCP sockets to callers, endpoints and other VMs.
 
 use socket2::SockRef;
 use std::io;
@@ -7,11 +7,10 @@
 
 /// Sets the options that every long-lived connection of the daemon has.
 ///
-/// Nagle's algorithm is off, since it would hold a short answer back until the other end has
-/// acknowledged the one before. `lost_after` bounds how long sent data may stay unacknowledged:
-/// when something between the two ends has lost track of the connection, the kernel would
-/// otherwise resend for a quarter of an hour, and a caller would see a connection that is open
-/// and silent.
+/// Nagle's algorithm is off, since it would delay a short answer until the other end has
+/// acknowledged the previous one. `lost_after` bounds how long sent data may stay unacknowledged:
+/// if a device on the path has lost the connection's state, the kernel would otherwise resend for a
+/// quarter of an hour, and a caller would see a connection that is open and silent.
 ///
 /// # Errors
 ///
--- a/crates/daemon/src/standby.rs
+++ b/crates/daemon/src/standby.rs
@@ -1,4 +1,4 @@
-//! The journals that this VM holds as a standby, in one task.
+//! The task that holds journals for leaseholders on other VMs, as their standby.
 
 use crate::log_event;
 use crate::member::MemberView;
@@ -16,19 +16,19 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// What the standby task is asked.
+/// A request to the standby task.
 #[derive(Debug)]
 pub enum StandbyEvent {
-    /// Holds entries.
+    /// Appends entries to a journal.
     Append(JournalAppend, oneshot::Sender<JournalReply>),
-    /// Hands a journal over and refuses earlier epochs from then on.
+    /// Reads a journal, and refuses earlier epochs from then on.
     Read(JournalRequest, oneshot::Sender<JournalCopy>),
-    /// The state, for operators.
+    /// A request for the state, for operators.
     Dump(oneshot::Sender<serde_json::Value>),
 }
 
 impl StandbyEvent {
-    /// Returns the VM that is meant, if the event came over a link.
+    /// Returns the VM that the request is meant for, if it came over a link.
     fn recipient(&self) -> Option<&VmName> {
         match self {
             Self::Append(append, _) => Some(&append.to),
@@ -40,9 +40,10 @@
 
 /// Starts the standby task of `vm`; it ends when all senders are gone.
 ///
-/// It leaves unanswered what is meant for another VM, as after that one has moved and its address was
-/// given to this VM. If it answered, the leaseholder would take a key for held by a standby that has
-/// never heard of it: after two losses a resend would run a second time.
+/// Calls that are meant for another VM are left unanswered; they arrive when that VM has moved and
+/// its address was given to this one. If they were answered, the leaseholder would count a key as
+/// held by a standby that has never received it, and after two losses a resend would run a second
+/// time.
 pub fn spawn_standby(
     vm: VmName,
     view: watch::Receiver<MemberView>,
