--- a/crates/daemon/src/catalog_fetch.rs
+++ b/crates/daemon/src/catalog_fetch.rs
@@ -41,7 +41,7 @@
     pub(crate) clock: NodeClock,
     /// Links to the control VMs.
     pub(crate) links: PeerLinks,
-    /// Where the control VMs are.
+    /// The addresses of the control VMs.
     pub(crate) directory: ControlDirectory,
     /// Holds the catalog copy from which a transfer begins.
     pub(crate) view: watch::Receiver<MemberView>,
--- a/crates/daemon/src/connection.rs
+++ b/crates/daemon/src/connection.rs
@@ -387,7 +387,7 @@
             Some((id, _)) if id == order.id.to_string() => outcome,
             _ => DescribeOutcome::Lost,
         },
-        // Within a failed transaction a database refuses everything but a rollback.
+        // Within a failed transaction a database refuses everything but a rollback, also the echo.
         Err(error) if as_database_error(&error).is_some() => outcome,
         Err(_) => DescribeOutcome::Lost,
     }
@@ -422,7 +422,7 @@
             }
             _ => RunOutcome::Mismatch,
         },
-        // Within a failed transaction a database refuses everything but a rollback.
+        // Within a failed transaction a database refuses everything but a rollback, also the echo.
         Err(error) if as_database_error(&error).is_some() => RunOutcome::Answered(answer, None),
         Err(_) => RunOutcome::Lost,
     }
--- a/crates/daemon/src/descriptors.rs
+++ b/crates/daemon/src/descriptors.rs
@@ -17,7 +17,7 @@
 /// the replicated log.
 const ENDPOINT_DIVISOR: u32 = 2;
 
-/// What a descriptor is held for.
+/// The use for which a descriptor is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DescriptorUse {
     /// A connection to an endpoint, open or opening.
--- a/crates/daemon/src/disk.rs
+++ b/crates/daemon/src/disk.rs
@@ -35,7 +35,7 @@
 const LOG_NAME: &str = "agreement.log";
 const REWRITE_NAME: &str = "agreement.log.new";
 
-/// An append-only file under the data folder.
+/// The append-only log file under the data folder.
 pub struct LogFile {
     folder: PathBuf,
     file: File,
--- a/crates/daemon/src/member.rs
+++ b/crates/daemon/src/member.rs
@@ -89,9 +89,9 @@
     pub clock: NodeClock,
     /// Links to the control VMs.
     pub links: PeerLinks,
-    /// Where the control VMs are.
+    /// The addresses of the control VMs.
     pub directory: ControlDirectory,
-    /// Where the view is published.
+    /// The channel on which the view is published.
     pub view: watch::Sender<MemberView>,
     /// The groups whose endpoints announce here and that have no placement.
     pub unplaced: watch::Receiver<Vec<GroupName>>,
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -58,7 +58,7 @@
 /// eventually. With 629 links on a VM it makes 63 pings a second.
 const IDLE_PING: Duration = Duration::from_secs(10);
 
-/// How a call over a link failed.
+/// The reason why a call over a link failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LinkError {
     /// No connection could be opened: the call has not run.
--- a/crates/daemon/src/server.rs
+++ b/crates/daemon/src/server.rs
@@ -116,7 +116,7 @@
     pub limits: Arc<AccountLimiter>,
     /// Links to other VMs.
     pub links: PeerLinks,
-    /// Where the control VMs are.
+    /// The addresses of the control VMs.
     pub directory: ControlDirectory,
     /// This VM's catalog copy and lease.
     pub view: watch::Receiver<MemberView>,
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -291,7 +291,7 @@
     let log = read_log(root.take_optional_section("log"), faults);
     if roles.control && data_folder.is_none() {
         let message = "data_folder: expected a folder, because roles.control is true".to_owned();
-        root.note(root.location(), message);
+        root.add_fault(root.location(), message);
     }
     if let (Some(vm), Some(listen), None) = (&vm, &listen, &formation) {
         check_own_control_address(&mut root, vm, roles, listen, &control);
@@ -317,7 +317,7 @@
     if name.value.is_empty() || !name.value.chars().all(plain) {
         let message =
             format!("{key}: expected {expected} of letters, digits, `-`, `_` and `.` only");
-        section.note(name.referenced, message);
+        section.add_fault(name.referenced, message);
         return None;
     }
     Some(name.value)
@@ -354,7 +354,7 @@
         };
         match address {
             Some(address) => seeds.push(address),
-            None => section.note(
+            None => section.add_fault(
                 location,
                 "formation.seeds: expected IP addresses with ports".to_owned(),
             ),
@@ -394,7 +394,7 @@
         let Some(address) = address else { continue };
         if address.value.port() != 0 && !seen.insert(address.value) {
             let message = format!("listen.{key}: expected an address that isn't used above");
-            section.note(address.referenced, message);
+            section.add_fault(address.referenced, message);
         }
     }
     faults.extend(section.finish());
@@ -420,7 +420,7 @@
     if missing || count > MAX_CONTROL_VMS {
         let message =
             format!("control: expected 1 to {MAX_CONTROL_VMS} control VMs, found {count}");
-        root.note(root.location(), message);
+        root.add_fault(root.location(), message);
     }
     let mut addresses: Vec<ControlAddress> = Vec::new();
     for node in nodes {
@@ -431,11 +431,11 @@
             let vm_name = VmName::from(vm.value);
             if addresses.iter().any(|other| other.vm == vm_name) {
                 let message = format!("control.vm: expected each VM once, found {vm_name} again");
-                section.note(vm.referenced, message);
+                section.add_fault(vm.referenced, message);
             }
             if addresses.iter().any(|other| other.address == address.value) {
                 let message = "control.address: expected each address once".to_owned();
-                section.note(address.referenced, message);
+                section.add_fault(address.referenced, message);
             }
             addresses.push(ControlAddress {
                 vm: vm_name,
@@ -468,7 +468,7 @@
         ),
         (true, Some(_)) | (false, None) => return,
     };
-    root.note(root.location(), message);
+    root.add_fault(root.location(), message);
 }
 
 /// Says whether a connection to `address` reaches a listener on `listener`.
@@ -531,7 +531,7 @@
              ({min_lease_ms}), found {}",
             timing.lease_ms
         );
-        section.note(section.location(), message);
+        section.add_fault(section.location(), message);
     }
     if timing.agreement_heartbeat_ticks * 2 > timing.election_ticks {
         let message = format!(
@@ -539,7 +539,7 @@
              found {}",
             timing.election_ticks, timing.agreement_heartbeat_ticks
         );
-        section.note(section.location(), message);
+        section.add_fault(section.location(), message);
     }
 }
 
@@ -573,7 +573,7 @@
             "limits.{key}: expected {expected}, found {}",
             fraction.value
         );
-        section.note(fraction.referenced, message);
+        section.add_fault(fraction.referenced, message);
         return 0;
     }
     (fraction.value * 1_000.0) as u64
--- a/crates/daemon/src/settings_tree.rs
+++ b/crates/daemon/src/settings_tree.rs
@@ -22,7 +22,7 @@
     pub line: u64,
     /// The column, counted from 1.
     pub column: u64,
-    /// What is wrong and what was expected.
+    /// The description of the fault and of what was expected.
     pub message: String,
 }
 
@@ -61,7 +61,7 @@
 /// A value of the tree with its position.
 pub(crate) type TreeNode = Spanned<TreeValue>;
 
-/// A value of the tree.
+/// A value of the tree, without its position.
 #[derive(Clone, Debug)]
 pub(crate) enum TreeValue {
     Empty,
@@ -179,7 +179,7 @@
             TreeValue::Map(entries) => reader.entries = entries,
             TreeValue::Empty => {}
             TreeValue::Scalar(_) | TreeValue::List(_) => {
-                reader.note(
+                reader.add_fault(
                     reader.location,
                     format!("{path}: expected a map of settings"),
                 );
@@ -194,7 +194,7 @@
     }
 
     /// Records a fault at a position.
-    pub(crate) fn note(&mut self, location: Location, message: String) {
+    pub(crate) fn add_fault(&mut self, location: Location, message: String) {
         self.faults.push(SettingFault::at(location, message));
     }
 
@@ -221,7 +221,7 @@
         match self.take_section(key) {
             Some(section) => section,
             None => {
-                self.note_missing(key);
+                self.add_missing_fault(key);
                 self.empty_section(key)
             }
         }
@@ -241,7 +241,7 @@
             Some(node) => match node.value {
                 TreeValue::List(nodes) => nodes,
                 TreeValue::Empty | TreeValue::Scalar(_) | TreeValue::Map(_) => {
-                    self.note(node.referenced, format!("{path}: expected a list"));
+                    self.add_fault(node.referenced, format!("{path}: expected a list"));
                     Vec::new()
                 }
             },
@@ -258,13 +258,13 @@
         let node = self.take_node(key)?;
         let location = node.referenced;
         let TreeValue::Scalar(text) = node.value else {
-            self.note(location, format!("{path}: expected {expected}"));
+            self.add_fault(location, format!("{path}: expected {expected}"));
             return None;
         };
         match text.parse() {
             Ok(value) => Some(Spanned::new(value, location, location)),
             Err(_) => {
-                self.note(
+                self.add_fault(
                     location,
                     format!("{path}: expected {expected}, found `{text}`"),
                 );
@@ -284,7 +284,7 @@
             .iter()
             .any(|entry| entry.key.value == key && !matches!(entry.value.value, TreeValue::Empty));
         if !present {
-            self.note_missing(key);
+            self.add_missing_fault(key);
         }
         self.take_scalar(key, expected)
     }
@@ -302,7 +302,7 @@
         };
         if !range.contains(&number.value) {
             let path = self.path_of(key);
-            self.note(
+            self.add_fault(
                 number.referenced,
                 format!("{path}: expected {expected}, found `{}`", number.value),
             );
@@ -316,7 +316,7 @@
         let known = self.known.join(", ");
         for entry in std::mem::take(&mut self.entries) {
             let path = self.path_of(&entry.key.value);
-            self.note(
+            self.add_fault(
                 entry.key.referenced,
                 format!("{path}: unknown setting, expected one of {known}"),
             );
@@ -324,9 +324,9 @@
         self.faults
     }
 
-    fn note_missing(&mut self, key: &'static str) {
+    fn add_missing_fault(&mut self, key: &'static str) {
         let path = self.path_of(key);
-        self.note(self.location, format!("{path}: expected, but missing"));
+        self.add_fault(self.location, format!("{path}: expected, but missing"));
     }
 
     fn empty_section(&self, key: &str) -> SectionReader {
