--- a/crates/daemon/src/statements/links.rs
+++ b/crates/daemon/src/statements/links.rs
@@ -1,10 +1,13 @@
-//! A gateway's links to leaseholders.
+//! The client side of statement links: a gateway's connections to leaseholders.
 //!
-//! A call that was never written to a connection has not run. One whose connection ended before the
-//! reply may have.
+//! A call that was never written to a connection has not run, and its statement can be sent again. A
+//! call whose connection ended before the reply may have run. The module therefore avoids writing to a
+//! peer that doesn't respond: a new connection must answer a ping before it carries calls, calls are
+//! refused at once while there is no connection, and a connection that owes replies is pinged and
+//! closed if nothing arrives.
 
-use super::FRAMES_AT_ONCE;
-use super::MOST_UNSENT;
+use super::MAX_FRAMES_PER_BATCH;
+use super::MAX_UNSENT_BYTES;
 use super::READ_BYTES;
 use crate::clock::NodeClock;
 use crate::connecting::connect_stream;
@@ -38,43 +41,45 @@
 use tokio::time::sleep_until;
 use tokio::time::timeout;
 
-/// Calls that may wait for one link's task, which takes them in at once.
-const CALL_QUEUE: usize = 16_384;
+/// The capacity of the queue of calls to one link's task.
+const CALL_QUEUE_CAPACITY: usize = 16_384;
 
-/// Unacknowledged bytes older than this end a connection.
-const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_secs(2);
+/// The age of unacknowledged bytes at which a connection is closed.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The pause between two attempts to connect to a VM that is out of reach. A process is back a second
-/// after it was killed; until then each attempt costs two packets.
+/// The pause between two attempts to connect to an unreachable VM. A killed process is back after about
+/// a second; until then each attempt costs two packets.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(50);
 
-/// How long a VM that is out of reach is tried without a call for it: statements go elsewhere by then.
-const INTEREST: Duration = Duration::from_secs(5);
+/// The time after the last call for which attempts to connect to an unreachable VM go on. By then the
+/// statements go to another VM.
+const RECONNECT_WINDOW: Duration = Duration::from_secs(5);
 
+/// The result of a call.
 type CallReply = Result<StatementReply, LinkError>;
 
-/// Whether the called VM is to run a statement or to bring it to the leaseholder.
+/// Whether the called VM runs a statement itself or relays it to the leaseholder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallSort {
-    /// It leads the statement's group.
+    /// The called VM is the leaseholder of the statement's group.
     Execute,
-    /// It reaches the leaseholder, which this VM does not.
+    /// The called VM can reach the leaseholder, which this VM can't.
     Relay,
 }
 
-/// What a link's task is asked.
+/// A message to a link's task.
 enum LinkCall {
-    /// To make a call.
+    /// Makes a call.
     Statement {
         sort: CallSort,
         request: Box<StatementRequest>,
         reply: oneshot::Sender<CallReply>,
     },
-    /// To be connected when a call comes.
+    /// Connects ahead of the first call.
     Prepare,
 }
 
-/// The links of one gateway, by the leaseholders' addresses for statements.
+/// The links of one gateway, by the leaseholders' addresses for statement links.
 pub struct StatementLinks {
     links: Mutex<HashMap<SocketAddr, mpsc::Sender<LinkCall>>>,
     tasks: Mutex<JoinSet<()>>,
@@ -83,7 +88,7 @@
 }
 
 impl StatementLinks {
-    /// Creates an empty set of links; each connects within `connect_timeout` or not at all.
+    /// Creates an empty set of links; `connect_timeout` bounds each attempt to connect.
     pub fn new(clock: NodeClock, connect_timeout: Duration) -> Arc<Self> {
         Arc::new(Self {
             links: Mutex::default(),
@@ -93,7 +98,7 @@
         })
     }
 
-    /// Makes one call, answered within `limit`.
+    /// Makes one call and waits for its reply, at most for `limit`.
     ///
     /// # Errors
     ///
@@ -121,9 +126,9 @@
         }
     }
 
-    /// Connects to a VM ahead of the first call for it, or finds out that it can't be reached.
+    /// Starts to connect to a VM ahead of the first call, unless there is a connection already.
     pub fn prepare(&self, address: SocketAddr) {
-        // A full queue belongs to a link that is in use.
+        // The queue is full only if the link is in use.
         let _ = self.link(address).try_send(LinkCall::Prepare);
     }
 
@@ -141,7 +146,7 @@
     fn link(&self, address: SocketAddr) -> mpsc::Sender<LinkCall> {
         let mut links = self.links.lock().expect("no holder of this lock panics");
         let link = links.entry(address).or_insert_with(|| {
-            let (sender, calls) = mpsc::channel(CALL_QUEUE);
+            let (sender, calls) = mpsc::channel(CALL_QUEUE_CAPACITY);
             let task = LinkTask {
                 address,
                 clock: self.clock,
@@ -155,42 +160,43 @@
     }
 }
 
-/// The task of one link.
+/// The task of one link, which owns its connection.
 struct LinkTask {
     address: SocketAddr,
     clock: NodeClock,
     connect_timeout: Duration,
 }
 
-/// How a connection ended.
+/// The reason for which a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LinkEnd {
-    /// The gateway needs it no more.
+    /// The gateway has dropped the link.
     Released,
-    /// The other side closed it, or the path did.
+    /// The other side closed the connection, or it broke.
     Broken,
-    /// The other side owes replies and says nothing.
+    /// The other side owes replies and has sent nothing, not even the answer to a ping.
     Silent,
-    /// What came was no frame.
+    /// An invalid or unexpected frame was received.
     Malformed,
-    /// The other side stops and has answered all that it was sent.
+    /// The other side is shutting down and has answered all calls.
     Stopped,
 }
 
-/// A connection with the calls that wait for their replies on it.
+/// A connection with the calls that await their replies.
 struct OpenLink {
     stream: TcpStream,
     codec: FrameCodec,
     unsent: BytesMut,
     received: BytesMut,
-    owed: BTreeMap<u64, OwedReply>,
+    pending: BTreeMap<u64, PendingReply>,
     last_call: u64,
     watch: LinkWatch,
-    /// Whether the other side has said that it stops.
+    /// Whether the other side has announced its shutdown; no further calls are sent to it then.
     stopping: bool,
 }
 
-struct OwedReply {
+/// A call that awaits its reply.
+struct PendingReply {
     since: ClockTime,
     reply: oneshot::Sender<CallReply>,
 }
@@ -198,7 +204,7 @@
 impl LinkTask {
     async fn run(self, mut calls: mpsc::Receiver<LinkCall>) {
         while let Some(call) = calls.recv().await {
-            let Some(mut link) = self.find_connection(call, &mut calls).await else {
+            let Some(mut link) = self.open_connection(call, &mut calls).await else {
                 continue;
             };
             loop {
@@ -208,9 +214,9 @@
                     "statement_link_ended",
                     peer = self.address,
                     cause = format!("{end:?}"),
-                    owed = link.owed.len(),
+                    owed = link.pending.len(),
                 );
-                link.lose_owed();
+                link.fail_pending();
                 if end == LinkEnd::Released {
                     return;
                 }
@@ -222,15 +228,15 @@
         }
     }
 
-    /// Connects for the first call; those that come meanwhile wait for the same attempt.
-    async fn find_connection(
+    /// Connects for the first call. Calls queued meanwhile wait for the same attempt.
+    async fn open_connection(
         &self,
         call: LinkCall,
         calls: &mut mpsc::Receiver<LinkCall>,
     ) -> Option<OpenLink> {
         match self.connect().await {
             Ok(mut link) => {
-                link.take_call(call, self.clock.now());
+                link.queue_call(call, self.clock.now());
                 Some(link)
             }
             Err(error) => {
@@ -246,13 +252,13 @@
         }
     }
 
-    /// Tries to connect again and again, for as long as calls come, and refuses them meanwhile.
+    /// Retries to connect for as long as calls arrive, and refuses them meanwhile.
     ///
-    /// Were they held until an attempt has timed out, each would cost its caller the time in which the
-    /// successor could serve it.
+    /// Held until the attempt timed out, a call would lose time in which the next leaseholder could
+    /// serve it.
     async fn reconnect(&self, calls: &mut mpsc::Receiver<LinkCall>) -> Option<OpenLink> {
-        let mut wanted = Instant::now();
-        while wanted.elapsed() < INTEREST {
+        let mut last_wanted = Instant::now();
+        while last_wanted.elapsed() < RECONNECT_WINDOW {
             let connecting = self.connect();
             tokio::pin!(connecting);
             let link = loop {
@@ -260,7 +266,7 @@
                     link = &mut connecting => break link,
                     call = calls.recv() => {
                         refuse(call?);
-                        wanted = Instant::now();
+                        last_wanted = Instant::now();
                     }
                 }
             };
@@ -275,7 +281,7 @@
                     () = &mut pause => break,
                     call = calls.recv() => {
                         refuse(call?);
-                        wanted = Instant::now();
+                        last_wanted = Instant::now();
                     }
                 }
             }
@@ -288,38 +294,39 @@
         opening.await.map_err(|_| io::ErrorKind::TimedOut)?
     }
 
-    /// Connects and waits for a first answer.
+    /// Connects and waits for the answer to a ping.
     ///
-    /// The system of a process that hangs goes on to accept connections. A statement that were written
-    /// to one would leave its caller in doubt, though it never ran.
+    /// The kernel accepts connections even for a process that hangs. A statement written to such a
+    /// connection would be in doubt although it never ran.
     async fn open(&self) -> io::Result<OpenLink> {
         let stream = connect_stream(self.address, self.connect_timeout).await?;
-        tune_stream(&stream, UNACKNOWLEDGED_LIMIT)?;
+        tune_stream(&stream, UNACKNOWLEDGED_TIMEOUT)?;
         let mut link = OpenLink {
             stream,
             codec: FrameCodec::new()?,
             unsent: BytesMut::new(),
             received: BytesMut::with_capacity(READ_BYTES),
-            owed: BTreeMap::new(),
+            pending: BTreeMap::new(),
             last_call: 0,
             watch: LinkWatch::new(self.clock.now()),
             stopping: false,
         };
-        link.greet().await?;
+        link.await_pong().await?;
         link.watch.hear(self.clock.now());
         Ok(link)
     }
 }
 
+/// Fails a call that was not written to any connection.
 fn refuse(call: LinkCall) {
     if let LinkCall::Statement { reply, .. } = call {
-        // A caller that is gone needs no answer.
+        // Sending fails if the caller has stopped waiting.
         let _ = reply.send(Err(LinkError::Unreachable));
     }
 }
 
 impl OpenLink {
-    async fn greet(&mut self) -> io::Result<()> {
+    async fn await_pong(&mut self) -> io::Result<()> {
         let greeting = self.codec.encode(&StatementFrame::Ping, &mut self.unsent);
         greeting.map_err(io::Error::other)?;
         self.stream.write_all_buf(&mut self.unsent).await?;
@@ -336,19 +343,19 @@
         }
     }
 
-    /// Carries calls and replies until the connection ends.
+    /// Sends calls and receives replies until the connection ends.
     async fn serve(&mut self, calls: &mut mpsc::Receiver<LinkCall>, clock: NodeClock) -> LinkEnd {
         loop {
-            if self.stopping && self.owed.is_empty() {
+            if self.stopping && self.pending.is_empty() {
                 return LinkEnd::Stopped;
             }
             let now = clock.now();
-            let look = match self.judge_silence(now) {
-                Ok(look) => look,
+            let recheck_after = match self.check_silence(now) {
+                Ok(recheck_after) => recheck_after,
                 Err(end) => return end,
             };
-            let owes = look.is_some();
-            let look = look.unwrap_or_default();
+            let awaits_reply = recheck_after.is_some();
+            let recheck_after = recheck_after.unwrap_or_default();
             let (mut reader, mut writer) = self.stream.split();
             self.received.reserve(READ_BYTES);
             tokio::select! {
@@ -357,7 +364,7 @@
                         return LinkEnd::Broken;
                     }
                     self.watch.hear(clock.now());
-                    if !self.take_frames() {
+                    if !self.handle_frames() {
                         return LinkEnd::Malformed;
                     }
                 }
@@ -366,31 +373,37 @@
                         return LinkEnd::Broken;
                     }
                 }
-                call = calls.recv(), if self.unsent.len() < MOST_UNSENT => {
+                call = calls.recv(), if self.unsent.len() < MAX_UNSENT_BYTES => {
                     let Some(call) = call else {
                         return LinkEnd::Released;
                     };
                     let now = clock.now();
-                    self.take_call(call, now);
-                    for _ in 1..FRAMES_AT_ONCE {
+                    self.queue_call(call, now);
+                    for _ in 1..MAX_FRAMES_PER_BATCH {
                         let Ok(call) = calls.try_recv() else { break };
-                        self.take_call(call, now);
+                        self.queue_call(call, now);
                     }
                 }
-                () = sleep_until(Instant::now() + look), if owes => {}
+                () = sleep_until(Instant::now() + recheck_after), if awaits_reply => {}
             }
         }
     }
 
-    /// Says when to look at the link's silence again, if it owes anything.
-    fn judge_silence(&mut self, now: ClockTime) -> Result<Option<Duration>, LinkEnd> {
-        let Some((_, oldest)) = self.owed.first_key_value() else {
+    /// Checks how long the other side has been silent while it owes replies, and pings it if need be.
+    ///
+    /// Returns the time until the next check; `None` if no reply is due.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`LinkEnd::Silent`] if the ping went unanswered.
+    fn check_silence(&mut self, now: ClockTime) -> Result<Option<Duration>, LinkEnd> {
+        let Some((_, oldest)) = self.pending.first_key_value() else {
             return Ok(None);
         };
         match self.watch.judge(now, oldest.since) {
             LinkStep::WaitUntil(moment) => Ok(Some(moment.since(now))),
             LinkStep::Ask => {
-                // A question is far shorter than any message may be.
+                // Encoding can't fail: the frame is far shorter than the length limit.
                 let _ = self.codec.encode(&StatementFrame::Ping, &mut self.unsent);
                 Ok(Some(ragwort_policy::ANSWER_TIME))
             }
@@ -398,7 +411,7 @@
         }
     }
 
-    fn take_call(&mut self, call: LinkCall, now: ClockTime) {
+    fn queue_call(&mut self, call: LinkCall, now: ClockTime) {
         if self.stopping {
             return refuse(call);
         }
@@ -410,7 +423,7 @@
         else {
             return;
         };
-        // A caller that is gone wants nothing run any more.
+        // The caller has stopped waiting, so the statement is not run.
         if reply.is_closed() {
             return;
         }
@@ -423,12 +436,12 @@
             let _ = reply.send(Err(LinkError::Rejected(error.to_string())));
             return;
         }
-        let owed = OwedReply { since: now, reply };
-        self.owed.insert(self.last_call, owed);
+        let pending = PendingReply { since: now, reply };
+        self.pending.insert(self.last_call, pending);
     }
 
-    /// Takes all frames that have arrived; false if what came is none.
-    fn take_frames(&mut self) -> bool {
+    /// Handles all frames that have been received; false if one is invalid.
+    fn handle_frames(&mut self) -> bool {
         loop {
             let (call, reply) = match self.codec.decode(&mut self.received) {
                 Ok(Some(StatementFrame::Reply(call, reply))) => (call, Ok(reply)),
@@ -441,16 +454,16 @@
                 Ok(None) => return true,
                 Ok(Some(_)) | Err(_) => return false,
             };
-            if let Some(owed) = self.owed.remove(&call) {
-                let _ = owed.reply.send(reply);
+            if let Some(waiting) = self.pending.remove(&call) {
+                let _ = waiting.reply.send(reply);
             }
         }
     }
 
-    /// Tells those whose replies won't come that their statements may have run.
-    fn lose_owed(&mut self) {
-        for (_, owed) in std::mem::take(&mut self.owed) {
-            let _ = owed.reply.send(Err(LinkError::Lost));
+    /// Fails all calls that await a reply: their statements may have run.
+    fn fail_pending(&mut self) {
+        for (_, waiting) in std::mem::take(&mut self.pending) {
+            let _ = waiting.reply.send(Err(LinkError::Lost));
         }
     }
 }
--- a/crates/daemon/src/statements/mod.rs
+++ b/crates/daemon/src/statements/mod.rs
@@ -1,22 +1,24 @@
-//! Links that carry statements from gateways to leaseholders.
+//! Persistent connections that carry statements from gateways to leaseholders.
 //!
-//! Statements are nearly all of the traffic between VMs, so they have connections of their own, with
-//! compact frames ([`ragwort_rpc::FrameCodec`]) in place of remote calls: 21 MB between failure domains in
-//! place of 24 for 9,200 requests with rows of 0.8 KB, three quarters of them from another domain.
+//! Statements make up nearly all of the traffic between VMs. They therefore use connections of their
+//! own, with compact frames ([`ragwort_rpc::FrameCodec`]) in place of JSON-RPC calls. For 9,200 requests
+//! with rows of 0.8 KB, three quarters of them from another failure domain, that takes 21 MB between
+//! failure domains in place of 24 MB.
 //!
-//! - [`links`] is the gateway's side. One task for each leaseholder owns the connection; it finds out
-//!   when a leaseholder has fallen silent, and while there is none, calls fail at once.
-//! - [`server`] is the leaseholder's side.
+//! - [`links`] is the client side, in the gateway. One task for each leaseholder owns the connection and
+//!   detects a leaseholder that stops responding. While there is no connection, calls fail at once.
+//! - [`server`] is the server side, in the leaseholder.
 
 pub mod links;
 pub mod server;
 
-/// Bytes that may wait to be sent on a connection. Beyond that no further calls are taken in, or no
-/// further ones read, until the other side has read some.
-const MOST_UNSENT: usize = 8 * 1024 * 1024;
+/// The high-water mark of a connection's send buffer, in bytes. Above it the client accepts no further
+/// calls, and the server reads no further frames, until the other side has received some.
+const MAX_UNSENT_BYTES: usize = 8 * 1024 * 1024;
 
-/// The bytes read at once. Rows take about a kilobyte, and several arrive together under load.
+/// The buffer space reserved for one read, in bytes. Rows take about a kilobyte, and several arrive
+/// together under load.
 const READ_BYTES: usize = 16 * 1024;
 
-/// Frames that are taken from a queue before the next write.
-const FRAMES_AT_ONCE: usize = 64;
+/// The most frames taken from a queue before the next write.
+const MAX_FRAMES_PER_BATCH: usize = 64;
--- a/crates/daemon/src/statements/server.rs
+++ b/crates/daemon/src/statements/server.rs
@@ -1,7 +1,11 @@
-//! A leaseholder's side of the links that carry statements.
+//! The server side of statement links: runs or relays the statements that gateways send.
+//!
+//! Statements of one connection run concurrently, and their replies are sent in the order of completion.
+//! On shutdown the server asks the gateway to close the link and answers all calls that it has read, so
+//! that no caller is left in doubt about a statement that never ran.
 
-use super::FRAMES_AT_ONCE;
-use super::MOST_UNSENT;
+use super::MAX_FRAMES_PER_BATCH;
+use super::MAX_UNSENT_BYTES;
 use super::READ_BYTES;
 use crate::descriptors::DescriptorBudget;
 use crate::descriptors::DescriptorUse;
@@ -29,30 +33,30 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
-/// Statements of one gateway that may be under way at once; it reads no further ones beyond that.
-const MOST_UNDER_WAY: usize = 16_384;
+/// The most statements of one connection in flight at one time. Above it no further frames are read.
+const MAX_IN_FLIGHT: usize = 16_384;
 
-/// Unacknowledged bytes older than this end a connection: its gateway is gone.
-const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_secs(10);
+/// The age of unacknowledged bytes at which a connection is closed, as its gateway is unreachable.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The pause after a connection could not be accepted, for want of descriptors as a rule.
+/// The pause after a failed accept, which is usually due to a lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// How long a VM that stops waits for its gateways to close their links: beyond the ways there and back
-/// and the calls that are still answered, only one that is gone lets it wait.
-const STOPPING_LIMIT: Duration = Duration::from_millis(400);
+/// The longest wait of a stopping VM for gateways to close their links. It covers the round trip and the
+/// calls still to be answered; only a gateway that is gone uses it up.
+const STOP_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What runs the statements that arrive.
+/// Runs the statements that gateways send.
 #[async_trait]
 pub trait StatementRunner: Send + Sync {
-    /// Runs a statement at this VM's leaseholder; `None` if it may have run and has no reply.
+    /// Runs a statement on this VM, the group's leaseholder; `None` if it may have run but has no reply.
     async fn run_here(&self, request: StatementRequest) -> Option<StatementReply>;
 
-    /// Brings a statement to its leaseholder.
+    /// Relays a statement to its leaseholder.
     async fn bring_on(&self, request: StatementRequest) -> StatementReply;
 }
 
-/// Serves gateways until told to stop.
+/// Serves gateways until `stop` holds true and all links are closed.
 pub async fn serve_statements(
     listener: TcpListener,
     runner: Arc<dyn StatementRunner>,
@@ -85,7 +89,8 @@
             }
         }
     }
-    // A gateway that connects now is refused at once in place of waiting for a greeting.
+    // New connections are refused at once from here on. Otherwise a gateway would wait for the answer to
+    // its first ping.
     drop(listener);
     while connections.join_next().await.is_some() {}
 }
@@ -109,38 +114,39 @@
     link.finish().await;
 }
 
-/// A gateway's connection.
+/// The server's end of a statement link.
 struct ServedLink {
     stream: TcpStream,
     runner: Arc<dyn StatementRunner>,
     codec: FrameCodec,
     received: BytesMut,
     unsent: BytesMut,
-    under_way: FuturesUnordered<BoxFuture<'static, StatementFrame>>,
+    in_flight: FuturesUnordered<BoxFuture<'static, StatementFrame>>,
 }
 
 impl ServedLink {
     fn open(stream: TcpStream, runner: Arc<dyn StatementRunner>) -> io::Result<Self> {
-        tune_stream(&stream, UNACKNOWLEDGED_LIMIT)?;
+        tune_stream(&stream, UNACKNOWLEDGED_TIMEOUT)?;
         Ok(Self {
             stream,
             runner,
             codec: FrameCodec::new()?,
             received: BytesMut::with_capacity(READ_BYTES),
             unsent: BytesMut::new(),
-            under_way: FuturesUnordered::new(),
+            in_flight: FuturesUnordered::new(),
         })
     }
 
-    /// Runs what arrives until the gateway closes the connection or says what is no call.
+    /// Serves calls until the gateway closes the connection or sends an invalid frame.
     async fn serve(&mut self) {
         loop {
             let (mut reader, mut writer) = self.stream.split();
-            let room = self.under_way.len() < MOST_UNDER_WAY && self.unsent.len() < MOST_UNSENT;
+            let can_read =
+                self.in_flight.len() < MAX_IN_FLIGHT && self.unsent.len() < MAX_UNSENT_BYTES;
             self.received.reserve(READ_BYTES);
             tokio::select! {
-                read = reader.read_buf(&mut self.received), if room => {
-                    if !matches!(read, Ok(count) if count > 0) || !self.take_frames() {
+                read = reader.read_buf(&mut self.received), if can_read => {
+                    if !matches!(read, Ok(count) if count > 0) || !self.handle_frames() {
                         return;
                     }
                 }
@@ -149,36 +155,36 @@
                         return;
                     }
                 }
-                Some(frame) = self.under_way.next(), if !self.under_way.is_empty() => {
-                    self.put(&frame);
-                    for _ in 1..FRAMES_AT_ONCE {
-                        let next = futures::FutureExt::now_or_never(self.under_way.next());
+                Some(frame) = self.in_flight.next(), if !self.in_flight.is_empty() => {
+                    self.queue_frame(&frame);
+                    for _ in 1..MAX_FRAMES_PER_BATCH {
+                        let next = futures::FutureExt::now_or_never(self.in_flight.next());
                         let Some(Some(frame)) = next else { break };
-                        self.put(&frame);
+                        self.queue_frame(&frame);
                     }
                 }
             }
         }
     }
 
-    /// Asks the gateway to close the link, and answers what comes until it does.
+    /// Asks the gateway to close the link, and answers calls until it does.
     ///
-    /// Were the connection closed here, its gateway couldn't tell which of its calls were read, and
-    /// would leave callers in doubt about statements that never ran.
+    /// If this side closed the connection, the gateway couldn't tell which of its calls had been read,
+    /// and would have to report statements that never ran as in doubt.
     async fn finish(&mut self) {
-        self.put(&StatementFrame::Stopping);
-        if timeout(STOPPING_LIMIT, self.serve()).await.is_err() {
-            let unanswered = self.under_way.len();
+        self.queue_frame(&StatementFrame::Stopping);
+        if timeout(STOP_TIMEOUT, self.serve()).await.is_err() {
+            let unanswered = self.in_flight.len();
             log_event!(Level::Warn, "statement_link_cut", unanswered = unanswered);
         }
     }
 
-    fn take_frames(&mut self) -> bool {
+    fn handle_frames(&mut self) -> bool {
         loop {
             let runner = Arc::clone(&self.runner);
             match self.codec.decode(&mut self.received) {
                 Ok(Some(StatementFrame::Execute(call, request))) => {
-                    self.under_way.push(Box::pin(async move {
+                    self.in_flight.push(Box::pin(async move {
                         match runner.run_here(request).await {
                             Some(reply) => StatementFrame::Reply(call, reply),
                             None => StatementFrame::Lost(call),
@@ -186,11 +192,11 @@
                     }));
                 }
                 Ok(Some(StatementFrame::Relay(call, request))) => {
-                    self.under_way.push(Box::pin(async move {
+                    self.in_flight.push(Box::pin(async move {
                         StatementFrame::Reply(call, runner.bring_on(request).await)
                     }));
                 }
-                Ok(Some(StatementFrame::Ping)) => self.put(&StatementFrame::Pong),
+                Ok(Some(StatementFrame::Ping)) => self.queue_frame(&StatementFrame::Pong),
                 Ok(None) => return true,
                 Ok(Some(_)) | Err(_) => {
                     log_event!(Level::Warn, "statement_link_malformed");
@@ -200,13 +206,13 @@
         }
     }
 
-    fn put(&mut self, frame: &StatementFrame) {
+    fn queue_frame(&mut self, frame: &StatementFrame) {
         let Err(error) = self.codec.encode(frame, &mut self.unsent) else {
             return;
         };
         log_event!(Level::Error, "reply_not_sent", cause = error);
         if let StatementFrame::Reply(call, _) = frame {
-            // It is far shorter than any message may be.
+            // Encoding can't fail: the frame is far shorter than the length limit.
             let lost = StatementFrame::Lost(*call);
             let _ = self.codec.encode(&lost, &mut self.unsent);
         }
