--- a/crates/daemon/src/edges/callers.rs
+++ b/crates/daemon/src/edges/callers.rs
@@ -1,4 +1,4 @@
-//! How callers speak to a gateway.
+//! The interface to the protocol between callers and a gateway.
 
 use super::ProtocolFault;
 use bytes::BytesMut;
@@ -8,16 +8,16 @@
 use ragwort_types::PreparedShape;
 use ragwort_types::TransactionMode;
 
-/// Translates between bytes and a caller's messages.
+/// Decodes callers' messages and encodes answers to them.
 pub trait CallerProtocol: Send + Sync + 'static {
-    /// Takes the first message out of `buffer`; `None` while it isn't whole.
+    /// Decodes and removes the first message in `buffer`; `None` if it is incomplete.
     ///
     /// # Errors
     ///
-    /// Returns the fault of bytes that are no message.
+    /// Returns a fault if the bytes aren't a valid message.
     fn decode(&self, buffer: &mut BytesMut) -> Result<Option<CallerMessage>, ProtocolFault>;
 
-    /// Appends an answer's bytes to `buffer`.
+    /// Appends the encoded answer to `buffer`.
     fn encode(&self, answer: &CallerAnswer, buffer: &mut BytesMut);
 }
 
@@ -26,16 +26,16 @@
 pub enum CallerMessage {
     /// Opens the session.
     Open {
-        /// The name under which the caller knows its database: the customer's name.
+        /// The caller's name for its database, which is the customer's name.
         database: String,
-        /// The key of the account that it works for; empty if it shows none.
+        /// The key of the caller's account; empty if it shows none.
         key: AccountKey,
     },
     /// Runs a statement.
     Statement {
-        /// The caller's id of it.
+        /// The caller's id of the statement.
         id: String,
-        /// What it is.
+        /// The statement.
         statement: CallerStatement,
     },
     /// Ends the session.
@@ -47,48 +47,48 @@
 pub enum CallerStatement {
     /// Opens a transaction.
     Begin(TransactionMode),
-    /// Commits it.
+    /// Commits the open transaction.
     Commit,
-    /// Rolls it back.
+    /// Rolls back the open transaction.
     Rollback,
-    /// Reads or writes; the text goes to an endpoint unchanged.
+    /// Reads or writes; the text is forwarded to an endpoint unchanged.
     Run {
-        /// Whether it reads or writes.
+        /// Whether the statement reads or writes.
         access: AccessMode,
-        /// Its text.
+        /// The statement's text.
         text: String,
     },
     /// Sets a value of the session.
     Set {
-        /// Its name.
+        /// The value's name.
         name: String,
         /// The value.
         value: String,
     },
-    /// Names a prepared statement.
+    /// Prepares a statement under a name.
     Prepare {
         /// Its name within the session.
         name: String,
-        /// What it is.
+        /// The access and shape of the statement.
         shape: PreparedShape,
     },
     /// Runs a prepared statement.
     Execute {
         /// Its name within the session.
         name: String,
-        /// Its arguments, as they are written.
+        /// Its arguments, in the protocol's text form.
         arguments: String,
     },
-    /// Forgets a prepared statement.
+    /// Removes a prepared statement.
     Deallocate {
         /// Its name within the session.
         name: String,
     },
-    /// No statement that the protocol knows.
+    /// A statement that the protocol doesn't define.
     Unknown,
 }
 
-/// The state of a session as its caller is shown it.
+/// The transaction state of a session as reported to its caller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SessionState {
     /// No transaction is open.
@@ -96,72 +96,73 @@
     Idle,
     /// A transaction is open.
     Open,
-    /// A transaction has failed; only its end is taken.
+    /// A transaction has failed; only its end is accepted.
     Failed,
 }
 
-/// What a caller is answered.
+/// An answer to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerAnswer {
     /// The session is open.
     Opened,
-    /// The session is not opened; the connection ends.
+    /// The session was refused or ended by an error; the connection is closed.
     Turned(CallerError),
-    /// A statement ended well.
+    /// A statement succeeded.
     Complete {
         /// The rows.
         rows: Vec<String>,
-        /// The endpoint's tag; none for a statement that the gateway answered itself.
+        /// The endpoint's command tag; `None` if the gateway answered the statement itself.
         tag: Option<String>,
-        /// The session's state now.
+        /// The session's state after the statement.
         state: SessionState,
-        /// Where the endpoint's log stands.
+        /// The position of the endpoint's log.
         position: Option<LogPosition>,
     },
-    /// A statement ended with an error.
+    /// A statement failed.
     Failed {
         /// The error.
         error: CallerError,
-        /// The session's state now.
+        /// The session's state after the statement.
         state: SessionState,
     },
 }
 
-/// An error as a caller is told it.
+/// An error that is sent to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallerError {
-    /// What sort of error it is.
+    /// The kind of error.
     pub sort: CallerErrorSort,
-    /// When to come back, in milliseconds; zero if that is useless or unknown.
+    /// The time to wait before a retry, in milliseconds; zero if a retry is useless or the time unknown.
     pub come_back_after_ms: u64,
-    /// What happened, in words.
+    /// The error message.
     pub text: String,
 }
 
-/// What sort of error a caller is told. For each it's said what is promised.
+/// The kind of an error that is sent to a caller. Where the doc says that nothing is kept, the statement,
+/// or its whole transaction, has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum CallerErrorSort {
-    /// Too much work, or nobody to do it; nothing is kept.
+    /// The system is overloaded, or nothing can serve the statement at present; nothing is kept.
     Busy,
-    /// No endpoint holds what must be read; nothing is kept.
+    /// No endpoint's log has reached the position that the read requires; nothing is kept.
     Lagging,
-    /// There is no primary; nothing is kept.
+    /// The group has no primary; nothing is kept.
     NoPrimary,
-    /// The transaction is gone; nothing is kept.
+    /// The transaction was lost or rolled back; nothing is kept.
     Aborted,
-    /// The outcome is unknown; nothing is promised.
+    /// The outcome is unknown.
     InDoubt,
-    /// The endpoint failed while it ran the statement; nothing is promised.
+    /// The endpoint failed while it ran the statement, which may have taken effect or not.
     Failed,
-    /// The endpoint gave up on the statement; nothing is promised.
+    /// The statement timed out at the endpoint, and may have taken effect or not.
     TimedOut,
-    /// There is no contract under the database's name.
+    /// No contract exists under the database's name.
     NoDatabase,
     /// No prepared statement has the name.
     UnknownStatement,
     /// A message is too long.
     TooLong,
-    /// The statement isn't understood, or not taken in the session's state.
+    /// The statement is invalid, or not accepted in the session's state.
     Malformed,
     /// No account has the caller's key; nothing was run.
     Unauthorized,
--- a/crates/daemon/src/edges/endpoints.rs
+++ b/crates/daemon/src/edges/endpoints.rs
@@ -1,4 +1,5 @@
-//! How a leaseholder speaks to an endpoint whose database keeps terms of its own.
+//! The interface to the protocol between a leaseholder and endpoints whose databases keep terms of
+//! their own.
 
 use super::ProtocolFault;
 use super::SessionState;
@@ -13,99 +14,99 @@
 use ragwort_types::PreparedShape;
 use ragwort_types::TransactionMode;
 
-/// Translates between an endpoint's commands and answers and bytes.
+/// Encodes commands to endpoints and decodes their messages.
 pub trait EndpointProtocol: Send + Sync + 'static {
-    /// Appends a command's bytes to `buffer`.
+    /// Appends the encoded command to `buffer`.
     fn encode(&self, command: &EndpointCommand, buffer: &mut BytesMut);
 
-    /// Takes the first message out of `buffer`; `None` while it isn't whole.
+    /// Decodes and removes the first message in `buffer`; `None` if it is incomplete.
     ///
     /// # Errors
     ///
-    /// Returns the fault of bytes that are no message.
+    /// Returns a fault if the bytes aren't a valid message.
     fn decode(&self, buffer: &mut BytesMut) -> Result<Option<EndpointMessage>, ProtocolFault>;
 
-    /// Reads the row by which an endpoint answers to a command about itself.
+    /// Parses the row that answers [`EndpointCommand::Describe`]; `None` if it is invalid.
     fn read_report(&self, row: &str) -> Option<EndpointReport>;
 }
 
 /// A command to an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EndpointCommand {
-    /// Opens a connection, and names the instance that is expected at the address.
+    /// Opens a connection and names the instance expected at the address.
     Open {
         /// The group.
         group: GroupName,
         /// The instance.
         instance: InstanceName,
-        /// The account for whose callers it is opened; none where callers work for no account.
+        /// The account of the callers that will use the connection; `None` if they have none.
         account: Option<AccountName>,
     },
     /// Opens a transaction.
     Begin {
-        /// Its sort.
+        /// Whether it may write.
         mode: TransactionMode,
-        /// What the endpoint's log must hold.
+        /// The position that the endpoint's log must have reached.
         after: Option<LogPosition>,
     },
     /// Runs a caller's statement by its text.
     Run {
-        /// The caller's id of it.
+        /// The caller's id of the statement.
         id: String,
-        /// Its text.
+        /// The statement's text.
         text: String,
-        /// What the endpoint's log must hold; only reads may say so.
+        /// The position that the endpoint's log must have reached; allowed for reads only.
         after: Option<LogPosition>,
     },
     /// Runs a prepared statement of a caller.
     Execute {
-        /// The caller's id of it.
+        /// The caller's id of the statement.
         id: String,
-        /// What was prepared; it follows which name it has on the connection.
+        /// The prepared shape, which determines the statement's name on the connection.
         shape: PreparedShape,
         /// The arguments.
         arguments: String,
-        /// What the endpoint's log must hold; only reads may say so.
+        /// The position that the endpoint's log must have reached; allowed for reads only.
         after: Option<LogPosition>,
     },
-    /// Commits the transaction, as the caller asked under this id.
+    /// Commits the transaction.
     Commit {
-        /// The caller's id of it.
+        /// The caller's id of its COMMIT.
         id: String,
     },
-    /// Rolls the transaction back.
+    /// Rolls back the transaction.
     Rollback,
     /// Sets a value of the session.
     Set {
-        /// Its name.
+        /// The value's name.
         name: String,
         /// The value.
         value: String,
     },
-    /// Prepares a statement under the name that belongs to its shape.
+    /// Prepares a statement under the name derived from its shape.
     Prepare(PreparedShape),
-    /// Clears values and prepared statements.
+    /// Clears the connection's values and prepared statements.
     Reset,
-    /// Asks the endpoint about itself. The answer takes a slot.
+    /// Requests an [`EndpointReport`]. The request occupies one of the endpoint's slots.
     Describe,
-    /// Stops a replica from receiving, so that no write counts on it any more.
+    /// Stops a replica from receiving the log, so that it confirms no further write.
     Pause(GroupTerm),
-    /// Lets a paused replica receive again.
+    /// Lets a paused replica receive the log again.
     Resume,
-    /// Makes a primary of a lower term a replica.
+    /// Demotes a primary of a lower term to a replica.
     StepDown(GroupTerm),
 }
 
-/// A message of an endpoint.
+/// A message from an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EndpointMessage {
     /// A row of the answer.
     Row(String),
-    /// The command ended well, with this tag.
+    /// The command succeeded; contains its command tag.
     Complete(String),
-    /// The command ended with a fault.
+    /// The command failed.
     Fault(EndpointFault),
-    /// The answer is over.
+    /// The answer is complete, and the endpoint is ready for the next command.
     Ready(EndpointEnd),
 }
 
@@ -114,17 +115,17 @@
 pub struct EndpointEnd {
     /// Whether a transaction is open on the connection.
     pub state: SessionState,
-    /// Where the instance's log stands.
+    /// The position of the instance's log.
     pub position: Option<LogPosition>,
 }
 
-/// What an endpoint says of itself.
+/// An endpoint's report of its own state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointReport {
-    /// Its role, as it sees it.
+    /// The role that the endpoint believes it has.
     pub role: InstanceRole,
-    /// The term that it belongs to.
+    /// The group term that the endpoint is in.
     pub term: GroupTerm,
-    /// How far it has received the log.
+    /// The position up to which it has received the log.
     pub received: LogPosition,
 }
--- a/crates/daemon/src/edges/mod.rs
+++ b/crates/daemon/src/edges/mod.rs
@@ -1,8 +1,8 @@
-//! The edges of the daemon: what an outside system has to be able to do, one file each.
+//! The traits by which the daemon is adapted to other protocols and platforms, one file each.
 //!
-//! The daemon's own sides are PostgreSQL's protocol and JSON-RPC. A system that speaks otherwise
-//! brings an implementation of these traits. An implementation translates and decides nothing:
-//! sockets, time-outs, retries and all state are the daemon's.
+//! Without them the daemon speaks PostgreSQL's protocol to callers and endpoints, and JSON-RPC to
+//! agents. An implementation of these traits only translates: sockets, time-outs, retries and all state
+//! remain in the daemon.
 
 mod callers;
 mod endpoints;
@@ -30,14 +30,14 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Bytes that are no message of the protocol. The connection can't go on after them.
+/// A fault in received bytes that aren't a valid message. The connection can't be used afterwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProtocolFault {
     /// A message is longer than the protocol allows.
     TooLong,
-    /// The bytes are no text.
+    /// The bytes are not valid text.
     NotText,
-    /// The text is no message, or one that isn't expected here.
+    /// The text is not a message of the protocol, or a message that is not expected at this point.
     Malformed,
 }
 
@@ -51,24 +51,24 @@
     }
 }
 
-/// The edges of a daemon whose databases keep terms of their own.
+/// The adapters of a daemon for databases that keep terms of their own.
 #[derive(Clone)]
 pub struct NativeEdges {
-    /// How callers speak.
+    /// The codec of the callers' protocol.
     pub callers: Arc<dyn CallerProtocol>,
-    /// How endpoints speak.
+    /// The codec of the endpoints' protocol.
     pub endpoints: Arc<dyn EndpointProtocol>,
-    /// Who promotes an instance.
+    /// The service that promotes instances.
     pub promotions: Arc<dyn PromotionService>,
-    /// What else answers the outside.
+    /// The server for readiness, announcements and operators.
     pub services: Arc<dyn ServiceEdge>,
 }
 
-/// Which sides a daemon has towards callers and endpoints.
+/// The protocols that a daemon uses towards callers and endpoints.
 #[derive(Clone)]
 pub enum NodeEdges {
-    /// PostgreSQL's protocol, and agents that answer by JSON-RPC.
+    /// PostgreSQL's protocol, with agents that are called by JSON-RPC.
     Postgres,
-    /// Sides that were brought along.
+    /// Protocols given by adapters.
     Native(NativeEdges),
 }
--- a/crates/daemon/src/edges/promotions.rs
+++ b/crates/daemon/src/edges/promotions.rs
@@ -1,39 +1,40 @@
-//! Who makes an instance the primary of its group.
+//! The interface to the service that makes an instance the primary of its group.
 
 use async_trait::async_trait;
 use ragwort_types::GroupName;
 use ragwort_types::InstanceName;
 use ragwort_types::VmName;
 
-/// Takes orders to promote.
+/// Carries out orders to promote an instance.
 #[async_trait]
 pub trait PromotionService: Send + Sync + 'static {
-    /// Gives one order and returns what was answered; the daemon bounds how long it waits.
+    /// Sends one order and returns the reply; the daemon bounds the call by a time-out.
     async fn promote(&self, order: &PromotionOrder) -> PromotionReply;
 }
 
-/// An order to promote.
+/// An order to promote an instance to primary.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PromotionOrder {
     /// The group.
     pub group: GroupName,
-    /// The instance that is to be its primary.
+    /// The instance to promote.
     pub instance: InstanceName,
-    /// The VM that leads the group.
+    /// The VM that holds the group's lease and gives the order.
     pub holder: VmName,
-    /// A number of the agreed log that no other order has. A later one overtakes it.
+    /// The fencing token: a number from the agreed log, unique to this order. An order with a higher
+    /// token supersedes it.
     pub token: u64,
 }
 
-/// What became of an order to promote.
+/// The reply to an order to promote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PromotionReply {
-    /// It is being carried out, or the instance is the primary already.
+    /// The order is being carried out, or the instance is the primary already.
     Accepted,
-    /// A later token was seen, or the instance doesn't run.
+    /// The order was refused: a higher token was seen, or the instance doesn't run.
     Overtaken,
-    /// It was not taken; the same order may be given again.
+    /// The order was not accepted; the same order may be sent again.
     Unavailable,
-    /// It may or may not be carried out, even seconds later.
+    /// The outcome is unknown: the order may still be carried out, even seconds later.
     Unknown,
 }
--- a/crates/daemon/src/edges/services.rs
+++ b/crates/daemon/src/edges/services.rs
@@ -1,4 +1,4 @@
-//! What answers the outside beside callers: readiness, announcements, operators.
+//! The interface to the server for readiness, endpoint announcements and operators' requests.
 
 use crate::log_event;
 use crate::metrics::DaemonMetrics;
@@ -14,24 +14,23 @@
 use std::net::SocketAddr;
 use tokio::sync::watch;
 
-/// Serves the outside by the daemon's [`NodeServices`].
+/// Serves requests from outside the daemon by its [`NodeServices`].
 #[async_trait]
 pub trait ServiceEdge: Send + Sync + 'static {
     /// Serves until `stop` holds true.
     ///
     /// # Errors
     ///
-    /// Returns the operating system's error if an address can't be listened on.
+    /// Returns the operating system's error if a listening address can't be bound.
     async fn serve(&self, services: NodeServices, stop: watch::Receiver<bool>) -> io::Result<()>;
 
-    /// Returns the seeds as the settings name them now.
+    /// Returns the seed addresses in the settings at present; `None` if they can't be read.
     ///
-    /// The daemon asks again when it is told that its settings have changed, and now and then
-    /// without being told. `None` means that they can't be read.
+    /// The daemon calls it after a notice that the settings have changed, and also periodically.
     fn read_seeds(&self) -> Option<Vec<SocketAddr>>;
 }
 
-/// What the daemon does for the outside. Clones lead to the same daemon.
+/// The daemon's operations for a [`ServiceEdge`]. Clones share the same daemon.
 #[derive(Clone)]
 pub struct NodeServices {
     routes: ServerRoutes,
@@ -39,11 +38,11 @@
     metrics: DaemonMetrics,
 }
 
-/// Of so many refused announcements one is logged, so that a sender of thousands can't fill the log.
-const REFUSALS_PER_LINE: u64 = 100;
+/// One in this many refused announcements is logged, so that a sender of thousands can't fill the log.
+const REFUSALS_PER_LOG_LINE: u64 = 100;
 
-/// The most characters of a fault that are logged; it may quote what was sent.
-const LONGEST_FAULT: usize = 120;
+/// The most characters of a fault that are logged, as it may quote the received text.
+const MAX_FAULT_CHARS: usize = 120;
 
 impl NodeServices {
     pub(crate) fn new(
@@ -58,38 +57,38 @@
         }
     }
 
-    /// Says whether the VM takes callers.
+    /// Returns whether the VM accepts callers.
     pub fn is_ready(&self) -> bool {
         *self.ready.borrow()
     }
 
-    /// Takes an endpoint's announcement to the VMs that serve its group.
+    /// Forwards an endpoint's announcement to the VMs that serve its group.
     pub async fn announce(&self, announcement: EndpointAnnouncement) -> AnnouncementReply {
         self.routes.spread_announcement(announcement).await
     }
 
-    /// Notes that something announced itself in a way that names no endpoint to use.
+    /// Records an announcement that was refused because it names no usable endpoint.
     ///
-    /// Anybody can send such announcements in any number, so only now and then one is logged; the
+    /// Any sender can cause these in any number, so only every hundredth is logged; the
     /// metrics count all.
     pub fn note_refused_announcement(&self, fault: &str) {
         let refused = self.metrics.count_refused_announcement();
-        if refused % REFUSALS_PER_LINE == 1 {
+        if refused % REFUSALS_PER_LOG_LINE == 1 {
             log_event!(
                 Level::Warn,
                 "announcement_refused",
-                fault = fault.chars().take(LONGEST_FAULT).collect::<String>(),
+                fault = fault.chars().take(MAX_FAULT_CHARS).collect::<String>(),
                 refused = refused,
             );
         }
     }
 
-    /// Replaces the whole configuration; the highest version wins.
+    /// Replaces the whole contract document; the highest version wins.
     pub async fn apply_document(&self, document: ContractDocument) -> DocumentReply {
         self.routes.replace_document(document).await
     }
 
-    /// Returns the configuration that a majority confirms to be the newest.
+    /// Returns the contract document that a majority of the voters confirms to be the newest.
     pub async fn read_document(&self) -> DocumentReading {
         self.routes.find_document().await
     }
