--- a/crates/daemon/src/callers/answers.rs
+++ b/crates/daemon/src/callers/answers.rs
@@ -1,7 +1,7 @@
-//! What a caller is told: verdicts as errors of PostgreSQL's protocol.
+//! Maps verdicts, refusals and faults to error responses of PostgreSQL's protocol.
 //!
-//! The SQLSTATE says what kind of failure it was, the DETAIL whether the request may have run, and
-//! the HINT when it is worth coming back.
+//! SQLSTATE gives the kind of failure, DETAIL whether the request may have run, and HINT the time
+//! after which a retry is worthwhile.
 
 use crate::callers::MarkFault;
 use crate::callers::SessionRefusal;
@@ -15,23 +15,23 @@
 use ragwort_types::RefusalCause;
 use ragwort_types::ServedBy;
 
-/// The detail of every error that ends a request before it ran.
+/// The DETAIL of every error for a request that was not run.
 pub const NOT_RUN_DETAIL: &str = "the request was not run";
 
-/// The detail of every error that leaves it open whether the request ran.
+/// The DETAIL of every error for a request with an unknown outcome.
 pub const MAY_HAVE_RUN_DETAIL: &str = "the request may have run";
 
-/// The detail of an error that was found in the answer of a request that ran.
+/// The DETAIL of an error found in the answer of a request that ran.
 pub const HAS_RUN_DETAIL: &str = "the request has run";
 
-/// How an error ends: with the statement, or with the connection.
+/// What an error ends: the statement (severity ERROR) or the connection (severity FATAL).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ErrorScope {
     Statement,
     Connection,
 }
 
-/// An error on its way to a caller.
+/// An error to be sent to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct CallerError {
     pub(crate) sqlstate: String,
@@ -57,22 +57,22 @@
         }
     }
 
-    /// Returns the error for an answer that doesn't have the columns it should have.
-    pub(crate) fn misfit() -> Self {
+    /// Returns the error for an answer whose columns differ from the described ones or from its rows.
+    pub(crate) fn shape_mismatch() -> Self {
         Self {
             detail: Some(HAS_RUN_DETAIL),
             ..Self::new("XX000", "answer doesn't fit its description")
         }
     }
 
-    /// Returns the error for a description that nobody can give.
-    pub(crate) fn undescribed() -> Self {
+    /// Returns the error for a statement that can't be described without running it.
+    pub(crate) fn not_describable() -> Self {
         let mut error = Self::not_run("0A000", "statement can't be described before it runs");
         error.hint = Some("send Describe and Execute together, or use a simple query".to_owned());
         error
     }
 
-    fn with_come_back(mut self, after_ms: u64) -> Self {
+    fn with_retry_hint(mut self, after_ms: u64) -> Self {
         if after_ms > 0 {
             self.hint = Some(format!("come back after {after_ms} ms"));
         }
@@ -100,7 +100,7 @@
     fn from(refusal: Refusal) -> Self {
         let message = format!("request refused: {}", refusal.cause);
         Self::not_run(sqlstate_of(refusal.cause), message)
-            .with_come_back(refusal.come_back_after_ms)
+            .with_retry_hint(refusal.come_back_after_ms)
     }
 }
 
@@ -149,12 +149,12 @@
 impl From<ParameterFault> for CallerError {
     fn from(fault: ParameterFault) -> Self {
         match fault {
-            ParameterFault::Malformed(place) => {
-                Self::not_run("22P03", format!("parameter ${place} is malformed"))
+            ParameterFault::Malformed(position) => {
+                Self::not_run("22P03", format!("parameter ${position} is malformed"))
             }
-            ParameterFault::Unsupported(place, type_id) => {
+            ParameterFault::Unsupported(position, type_id) => {
                 let message =
-                    format!("parameter ${place}: binary form of type {type_id} isn't supported");
+                    format!("parameter ${position}: binary form of type {type_id} isn't supported");
                 let mut error = Self::not_run("0A000", message);
                 error.hint = Some("send the parameter in text form".to_owned());
                 error
@@ -176,12 +176,12 @@
             }
             SessionRefusal::TooManySessions { come_back_after_ms } => {
                 Self::not_run("53300", "customer has too many sessions")
-                    .with_come_back(come_back_after_ms)
+                    .with_retry_hint(come_back_after_ms)
             }
             SessionRefusal::Draining => Self::not_run("57P01", "gateway is shutting down"),
             SessionRefusal::Starting { come_back_after_ms }
             | SessionRefusal::NotReady { come_back_after_ms } => {
-                Self::not_run("57P03", "gateway isn't ready").with_come_back(come_back_after_ms)
+                Self::not_run("57P03", "gateway isn't ready").with_retry_hint(come_back_after_ms)
             }
         }
     }
@@ -194,7 +194,7 @@
     NoticeResponse::from(info)
 }
 
-/// Returns the notice that says who served a request.
+/// Returns the notice that names the instance that served a request.
 pub(crate) fn make_served_notice(served: &ServedBy) -> NoticeResponse {
     let message = format!(
         "served by {} replica={} position={}",
@@ -203,7 +203,7 @@
     make_notice("NOTICE", "00000", message)
 }
 
-/// Returns the warning for an end of a transaction where none is open.
+/// Returns the warning for a COMMIT or ROLLBACK outside of a transaction.
 pub(crate) fn warn_no_transaction() -> NoticeResponse {
     let message = "there is no transaction in progress";
     make_notice("WARNING", "25P01", message.to_owned())
--- a/crates/daemon/src/callers/conversation.rs
+++ b/crates/daemon/src/callers/conversation.rs
@@ -1,8 +1,11 @@
-//! The conversation with an admitted caller: messages in, answers out, one at a time.
+//! The message loop of an admitted session: the simple and the extended query protocol.
+//!
+//! Messages are processed strictly in order, each to its last answer. In a drain an idle session
+//! is closed right after an answer, so that no statement under way is lost with the connection.
 
 use crate::callers::DescribeReply;
 use crate::callers::DescribeRequest;
-use crate::callers::DrainOrder;
+use crate::callers::DrainStage;
 use crate::callers::StatementClass;
 use crate::callers::StatementScan;
 use crate::callers::StatementShape;
@@ -40,21 +43,22 @@
 use tokio::time::Instant;
 use tokio::time::sleep_until;
 
-/// How long a drain waits for an idle session's next statement, to close the session behind its answer.
+/// The longest wait of a draining gateway for the next statement of an idle session. The session is
+/// closed right after its answer.
 ///
-/// The next statement may be under way already when an idle session is closed. Some drivers drop an error
-/// that arrives while no statement is pending and report only a closed connection for that statement, so
-/// that the caller can't know whether it ran.
+/// The next statement may already be under way when an idle session is closed. Some drivers drop an
+/// error that arrives while no statement is pending and report only a closed connection for the
+/// statement, which leaves the caller in doubt whether it ran.
 const LAST_STATEMENT_WAIT: Duration = Duration::from_secs(2);
 
-/// Why a conversation ended.
+/// The reason for which a conversation ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum SessionEnd {
-    /// The caller said goodbye.
+    /// The caller sent Terminate.
     Terminated,
     /// The gateway is shutting down.
     Drained,
-    /// The stream can't go on.
+    /// The stream can't be used any more.
     Fault(StreamFault),
 }
 
@@ -64,49 +68,49 @@
     }
 }
 
-/// A description that the caller asked for and hasn't got yet.
+/// The target of a Describe message that has not been answered yet.
 ///
-/// The gateway has no parser, but an answer describes itself. Drivers ask for a description and
-/// for the execution in one go, so the description waits for the next message: when that is the
-/// execution, the answer gives it, and the service isn't asked twice.
+/// The gateway has no parser, but an answer names its own columns. Drivers often send Describe and
+/// Execute together, so the reply to Describe is deferred until the next message. If that is the
+/// Execute, its answer supplies the description, and the service isn't asked a second time.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum OwedDescription {
+enum DescribeTarget {
     Statement(String),
     Portal(String),
 }
 
-/// Which of the protocol's two ways a statement came by.
+/// The query protocol by which a statement was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum QueryProtocol {
     Simple,
     Extended,
 }
 
-/// The conversation with one caller.
+/// The state of the conversation with one caller.
 pub(crate) struct Conversation {
     stream: CallerStream,
     runner: StatementRunner,
     store: PreparedStore,
-    order: watch::Receiver<DrainOrder>,
+    drain_stage: watch::Receiver<DrainStage>,
     notice: bool,
-    owed: Option<OwedDescription>,
-    /// After an error, messages are skipped up to the next Sync.
+    pending_describe: Option<DescribeTarget>,
+    /// Whether messages are skipped up to the next Sync, after an error.
     skipping: bool,
-    /// Whether the last thing sent was that the gateway is ready for a query.
-    at_boundary: bool,
-    /// Whether the caller was told the outcome of all that ran.
-    all_told: bool,
-    /// Set while the gateway drains.
+    /// Whether `ReadyForQuery` was the last message sent.
+    ready_sent: bool,
+    /// Whether the caller has been sent the outcome of every statement that ran.
+    outcomes_delivered: bool,
+    /// The final statement of the session; set once the gateway drains and the session is idle.
     last_statement: Option<LastStatement>,
 }
 
 /// The last statement of an idle session on a draining gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LastStatement {
-    /// Not received yet; the session ends without it at this moment.
+    /// Not received yet; the session ends at this instant if none arrives.
     Awaited(Instant),
-    /// Received; the session ends behind its answer.
-    Taken,
+    /// Received; the session ends after its answer.
+    Received,
 }
 
 impl Conversation {
@@ -114,39 +118,40 @@
         stream: CallerStream,
         runner: StatementRunner,
         store: PreparedStore,
-        order: watch::Receiver<DrainOrder>,
+        drain_stage: watch::Receiver<DrainStage>,
         notice: bool,
     ) -> Self {
         Self {
             stream,
             runner,
             store,
-            order,
+            drain_stage,
             notice,
-            owed: None,
+            pending_describe: None,
             skipping: false,
-            at_boundary: true,
-            all_told: true,
+            ready_sent: true,
+            outcomes_delivered: true,
             last_statement: None,
         }
     }
 
-    /// Serves the caller until one side ends it, and rolls back what is open.
+    /// Serves the caller until either side ends the session, then rolls back an open transaction.
     pub(crate) async fn run(&mut self) -> SessionEnd {
         let Err(end) = self.serve().await;
         self.runner.roll_back_open().await;
         end
     }
 
-    /// Returns the stream, and whether the caller was told the outcome of all that ran.
+    /// Returns the stream, and whether the caller has been sent the outcome of every statement that
+    /// ran.
     pub(crate) fn into_stream(self) -> (CallerStream, bool) {
-        (self.stream, self.all_told)
+        (self.stream, self.outcomes_delivered)
     }
 
     async fn serve(&mut self) -> Result<Infallible, SessionEnd> {
         loop {
             let message = self.next_message().await?;
-            self.take(message).await?;
+            self.handle_message(message).await?;
         }
     }
 
@@ -157,10 +162,10 @@
             }
             let until = match self.last_statement {
                 Some(LastStatement::Awaited(until)) => Some(until),
-                Some(LastStatement::Taken) | None => None,
+                Some(LastStatement::Received) | None => None,
             };
             tokio::select! {
-                changed = self.order.changed() => {
+                changed = self.drain_stage.changed() => {
                     if changed.is_err() {
                         return Err(SessionEnd::Drained);
                     }
@@ -168,7 +173,7 @@
                 () = sleep_until(until.unwrap_or_else(Instant::now)), if until.is_some() => {}
                 message = self.stream.next_message() => {
                     if self.last_statement.is_some() {
-                        self.last_statement = Some(LastStatement::Taken);
+                        self.last_statement = Some(LastStatement::Received);
                     }
                     return Ok(message?);
                 }
@@ -177,43 +182,43 @@
     }
 
     fn must_end(&mut self) -> bool {
-        let order = *self.order.borrow();
-        match order {
-            DrainOrder::Serve => false,
-            DrainOrder::EndIdle => {
-                let between = self.at_boundary && self.runner.state() == TransactionState::Idle;
-                between && self.has_had_last_statement()
+        let stage = *self.drain_stage.borrow();
+        match stage {
+            DrainStage::Serve => false,
+            DrainStage::EndIdle => {
+                let between = self.ready_sent && self.runner.state() == TransactionState::Idle;
+                between && self.last_statement_done()
             }
-            DrainOrder::EndAll => true,
+            DrainStage::EndAll => true,
         }
     }
 
-    fn has_had_last_statement(&mut self) -> bool {
+    fn last_statement_done(&mut self) -> bool {
         let now = Instant::now();
         let awaited = LastStatement::Awaited(now + LAST_STATEMENT_WAIT);
         match *self.last_statement.get_or_insert(awaited) {
             LastStatement::Awaited(until) => now >= until,
-            LastStatement::Taken => true,
+            LastStatement::Received => true,
         }
     }
 
-    async fn take(&mut self, message: PgWireFrontendMessage) -> Result<(), SessionEnd> {
+    async fn handle_message(&mut self, message: PgWireFrontendMessage) -> Result<(), SessionEnd> {
         match message {
             PgWireFrontendMessage::Terminate(_) => return Err(SessionEnd::Terminated),
-            PgWireFrontendMessage::Sync(_) => return Ok(self.take_sync().await?),
+            PgWireFrontendMessage::Sync(_) => return Ok(self.handle_sync().await?),
             _ if self.skipping => return Ok(()),
             _ => {}
         }
-        self.at_boundary = false;
-        if !self.executes_owed(&message) {
-            self.pay_description().await?;
+        self.ready_sent = false;
+        if !self.executes_described(&message) {
+            self.send_pending_describe().await?;
             if self.skipping {
                 return Ok(());
             }
         }
         let taken = match message {
             PgWireFrontendMessage::Query(query) => {
-                return Ok(self.take_query(&query.query).await?);
+                return Ok(self.handle_query(&query.query).await?);
             }
             PgWireFrontendMessage::Parse(parse) => match self.store.parse(parse) {
                 Ok(()) => self.stream.send(ParseComplete::new()).await,
@@ -223,11 +228,11 @@
                 Ok(()) => self.stream.send(BindComplete::new()).await,
                 Err(error) => self.fail(error).await,
             },
-            PgWireFrontendMessage::Describe(describe) => self.take_describe(describe).await,
-            PgWireFrontendMessage::Execute(execute) => self.take_execute(execute).await,
-            PgWireFrontendMessage::Close(close) => self.take_close(close).await,
+            PgWireFrontendMessage::Describe(describe) => self.handle_describe(describe).await,
+            PgWireFrontendMessage::Execute(execute) => self.handle_execute(execute).await,
+            PgWireFrontendMessage::Close(close) => self.handle_close(close).await,
             PgWireFrontendMessage::Flush(_) => self.stream.flush().await,
-            // As in PostgreSQL, what is left of a failed COPY is dropped.
+            // As in PostgreSQL, the remaining messages of a failed COPY are dropped.
             PgWireFrontendMessage::CopyData(_)
             | PgWireFrontendMessage::CopyDone(_)
             | PgWireFrontendMessage::CopyFail(_) => Ok(()),
@@ -236,7 +241,7 @@
         Ok(taken?)
     }
 
-    async fn take_query(&mut self, text: &str) -> Result<(), StreamFault> {
+    async fn handle_query(&mut self, text: &str) -> Result<(), StreamFault> {
         let outcome = self.runner.run(&mut self.stream, text, None).await;
         match outcome {
             StatementOutcome::Failed(error) => {
@@ -249,11 +254,11 @@
         self.send_ready().await
     }
 
-    async fn take_sync(&mut self) -> Result<(), StreamFault> {
+    async fn handle_sync(&mut self) -> Result<(), StreamFault> {
         if !self.skipping {
-            self.pay_description().await?;
+            self.send_pending_describe().await?;
         }
-        self.owed = None;
+        self.pending_describe = None;
         self.skipping = false;
         self.send_ready().await
     }
@@ -265,55 +270,57 @@
         }
         self.stream.send(ReadyForQuery::new(state.status())).await?;
         self.stream.flush().await?;
-        self.at_boundary = true;
-        self.all_told = true;
+        self.ready_sent = true;
+        self.outcomes_delivered = true;
         Ok(())
     }
 
-    /// Reports an error of the extended protocol; the rest up to the next Sync is skipped.
+    /// Reports an error of the extended protocol and skips messages up to the next Sync.
     async fn fail(&mut self, error: CallerError) -> Result<(), StreamFault> {
-        self.runner.note_error();
-        self.owed = None;
+        self.runner.mark_transaction_failed();
+        self.pending_describe = None;
         self.skipping = true;
         let response = error.to_response(ErrorScope::Statement);
         self.stream.send(response).await?;
         self.stream.flush().await
     }
 
-    async fn take_describe(&mut self, describe: Describe) -> Result<(), StreamFault> {
+    async fn handle_describe(&mut self, describe: Describe) -> Result<(), StreamFault> {
         let name = describe.name.unwrap_or_default();
-        let (known, owed) = if describe.target_type == TARGET_TYPE_BYTE_STATEMENT {
+        let (known, target) = if describe.target_type == TARGET_TYPE_BYTE_STATEMENT {
             let known = self.store.statement(&name).map(|_| ());
-            (known, OwedDescription::Statement(name))
+            (known, DescribeTarget::Statement(name))
         } else {
             let known = self.store.portal(&name).map(|_| ());
-            (known, OwedDescription::Portal(name))
+            (known, DescribeTarget::Portal(name))
         };
         match known {
             Ok(()) => {
-                self.owed = Some(owed);
+                self.pending_describe = Some(target);
                 Ok(())
             }
             Err(error) => self.fail(error).await,
         }
     }
 
-    /// Says whether a message executes what the caller wanted described just before.
-    fn executes_owed(&self, message: &PgWireFrontendMessage) -> bool {
-        let (Some(owed), PgWireFrontendMessage::Execute(execute)) = (&self.owed, message) else {
+    /// Returns whether a message executes the statement or portal of the deferred Describe.
+    fn executes_described(&self, message: &PgWireFrontendMessage) -> bool {
+        let (Some(target), PgWireFrontendMessage::Execute(execute)) =
+            (&self.pending_describe, message)
+        else {
             return false;
         };
         let name = execute.name.as_deref().unwrap_or_default();
-        match owed {
-            OwedDescription::Portal(portal) => portal == name,
-            OwedDescription::Statement(statement) => self
+        match target {
+            DescribeTarget::Portal(portal) => portal == name,
+            DescribeTarget::Statement(statement) => self
                 .store
                 .portal(name)
                 .is_ok_and(|portal| portal.statement == *statement),
         }
     }
 
-    async fn take_execute(&mut self, execute: Execute) -> Result<(), StreamFault> {
+    async fn handle_execute(&mut self, execute: Execute) -> Result<(), StreamFault> {
         let name = execute.name.unwrap_or_default();
         let portal = match self.store.portal(&name) {
             Ok(_) if execute.max_rows > 0 => Err(CallerError::not_run(
@@ -326,10 +333,10 @@
             Ok(portal) => portal,
             Err(error) => return self.fail(error).await,
         };
-        // A portal runs once: a second execution would run a write again.
+        // A portal runs only once: a second execution would repeat a write.
         self.store.close_portal(&name);
-        self.all_told = false;
-        let owed = self.owed.take();
+        self.outcomes_delivered = false;
+        let target = self.pending_describe.take();
         let parameters = Some(portal.parameters.clone());
         let outcome = self
             .runner
@@ -337,26 +344,26 @@
             .await;
         match outcome {
             StatementOutcome::Failed(error) => self.fail(error).await,
-            outcome if owed.is_none() && !fits_shape(&outcome, &portal.prepared) => {
-                self.fail(CallerError::misfit()).await
+            outcome if target.is_none() && !matches_shape(&outcome, &portal.prepared) => {
+                self.fail(CallerError::shape_mismatch()).await
             }
             outcome => {
-                self.describe_outcome(owed.as_ref(), &portal, &outcome)
+                self.describe_outcome(target.as_ref(), &portal, &outcome)
                     .await?;
                 self.answer(outcome, QueryProtocol::Extended).await
             }
         }
     }
 
-    /// Sends the description that the caller asked for just before it executed.
+    /// Answers the Describe that preceded an Execute, using the columns of the answer.
     async fn describe_outcome(
         &mut self,
-        owed: Option<&OwedDescription>,
+        target: Option<&DescribeTarget>,
         portal: &BoundPortal,
         outcome: &StatementOutcome,
     ) -> Result<(), StreamFault> {
-        let Some(owed) = owed else { return Ok(()) };
-        if let OwedDescription::Statement(_) = owed {
+        let Some(target) = target else { return Ok(()) };
+        if let DescribeTarget::Statement(_) = target {
             let types = describe_parameters(&portal.prepared.types, portal.parameters.len());
             self.stream.send(types).await?;
         }
@@ -370,7 +377,7 @@
         self.stream.send(describe_columns(columns)).await
     }
 
-    async fn take_close(&mut self, close: Close) -> Result<(), StreamFault> {
+    async fn handle_close(&mut self, close: Close) -> Result<(), StreamFault> {
         let name = close.name.unwrap_or_default();
         if close.target_type == TARGET_TYPE_BYTE_STATEMENT {
             self.store.close_statement(&name);
@@ -380,14 +387,14 @@
         self.stream.send(CloseComplete::new()).await
     }
 
-    /// Sends the description that is still owed, from what the service says of the statement.
-    async fn pay_description(&mut self) -> Result<(), StreamFault> {
-        let Some(owed) = self.owed.take() else {
+    /// Answers a deferred Describe that no Execute followed, by asking the service.
+    async fn send_pending_describe(&mut self) -> Result<(), StreamFault> {
+        let Some(target) = self.pending_describe.take() else {
             return Ok(());
         };
-        let found = match &owed {
-            OwedDescription::Statement(name) => self.store.statement(name).cloned(),
-            OwedDescription::Portal(name) => self
+        let found = match &target {
+            DescribeTarget::Statement(name) => self.store.statement(name).cloned(),
+            DescribeTarget::Portal(name) => self
                 .store
                 .portal(name)
                 .map(|portal| portal.prepared.clone()),
@@ -403,7 +410,7 @@
             Ok(described) => described,
             Err(error) => return self.fail(error).await,
         };
-        if let OwedDescription::Statement(name) = &owed {
+        if let DescribeTarget::Statement(name) = &target {
             self.store.set_shape(name, &shape);
             let types = describe_parameters(&prepared.types, shape.parameters);
             self.stream.send(types).await?;
@@ -438,12 +445,12 @@
             DescribeReply::Shape(shape) => Ok(shape),
             DescribeReply::Failed(error) => Err(CallerError::from(&error)),
             DescribeReply::Refused(refusal) => Err(CallerError::from(refusal)),
-            DescribeReply::Unsupported => Err(CallerError::undescribed()),
+            DescribeReply::Unsupported => Err(CallerError::not_describable()),
         }
     }
 
-    /// Sends the answer of a statement that didn't fail. In the extended protocol the columns are
-    /// described only on demand; in the simple one always.
+    /// Sends the answer of a statement. The simple protocol always describes the columns, the extended
+    /// one only on request.
     async fn answer(
         &mut self,
         outcome: StatementOutcome,
@@ -451,7 +458,7 @@
     ) -> Result<(), StreamFault> {
         match outcome {
             StatementOutcome::Empty => self.stream.send(EmptyQueryResponse::new()).await,
-            StatementOutcome::NothingToEnd(tag) => {
+            StatementOutcome::EndWithoutTransaction(tag) => {
                 self.stream.send(warn_no_transaction()).await?;
                 self.stream.send(CommandComplete::new(tag)).await
             }
@@ -493,9 +500,9 @@
     }
 }
 
-/// Says whether an answer has the columns that the caller was told before; a caller would read
-/// other columns under the wrong names.
-fn fits_shape(outcome: &StatementOutcome, prepared: &PreparedStatement) -> bool {
+/// Returns whether an answer has the columns that were described to the caller before. With other
+/// columns the caller would read values under the wrong names.
+fn matches_shape(outcome: &StatementOutcome, prepared: &PreparedStatement) -> bool {
     match (&prepared.shape, outcome) {
         (
             Some(shape),
--- a/crates/daemon/src/callers/edge.rs
+++ b/crates/daemon/src/callers/edge.rs
@@ -1,4 +1,8 @@
-//! Accepts callers' connections, joins their tasks, and routes cancel requests between them.
+//! Accepts callers' connections, joins their tasks, and routes cancel requests to sessions.
+//!
+//! PostgreSQL sends a cancel request on a connection of its own, with the process id and secret key of
+//! the session. Its connection's task passes it to the edge, which checks the secret and signals the
+//! session's task.
 
 use crate::callers::SessionRefusal;
 use crate::callers::StatementService;
@@ -27,35 +31,36 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-/// How long to wait after a failed accept.
+/// The pause after a failed accept.
 ///
-/// A process without free descriptors fails each accept at once; trying again at once would keep a
-/// core busy and the log full.
+/// In a process without free file descriptors every accept fails at once; without a pause the loop
+/// would occupy a core and fill the log.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// How many connections over the limit are told so at once; more are closed without a word.
-const MOST_REFUSED: usize = 64;
+/// The most refused connections that are sent an error at one time; further ones are closed without.
+const MAX_REFUSALS: usize = 64;
 
-/// How many cancel requests may wait for the edge.
-const CANCEL_QUEUE: usize = 64;
+/// The capacity of the queue of cancel requests to the edge.
+const CANCEL_QUEUE_CAPACITY: usize = 64;
 
 /// Limits of the caller edge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// The most connections at once.
+    /// The most connections open at one time.
     pub connections: usize,
     /// The longest message, in bytes.
     pub message_bytes: usize,
-    /// How long a start-up may take.
+    /// The time limit of a start-up, from the accepted connection to the complete start-up message.
     pub startup: Duration,
-    /// How long a message may take to arrive, and a part of an answer to be received.
+    /// The time limit for the rest of a message to arrive after its first byte, and for the caller to
+    /// receive a part of an answer.
     pub statement: Duration,
-    /// How long an open transaction may go on after the drain began.
+    /// The time that an open transaction may continue after the start of a drain.
     pub drain: Duration,
 }
 
 impl CallerLimits {
-    /// Takes the limits from the daemon's settings; `drain_ms` is in milliseconds.
+    /// Creates the limits from the daemon's settings; `drain_ms` is in milliseconds.
     pub fn from_settings(settings: &LimitSettings, drain_ms: u64) -> Self {
         let clamp = |number: u64| usize::try_from(number).unwrap_or(usize::MAX);
         Self {
@@ -75,25 +80,25 @@
     }
 }
 
-/// How far callers' sessions are asked to end.
+/// The stage of a drain, in ascending order. Each session acts on it by itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum DrainOrder {
-    /// Sessions go on.
+pub enum DrainStage {
+    /// No drain: sessions continue.
     #[default]
     Serve,
-    /// Sessions end between two transactions.
+    /// Sessions end when no transaction is open.
     EndIdle,
-    /// Sessions end between two statements; open transactions are rolled back.
+    /// Sessions end after the statement in flight; open transactions are rolled back.
     EndAll,
 }
 
-/// A request to cancel, with the time at which its connection was accepted.
-pub(crate) struct CancelOrder {
+/// A cancel request with the time at which its connection was accepted.
+pub(crate) struct QueuedCancel {
     pub(crate) request: CancelRequest,
     pub(crate) accepted: Instant,
 }
 
-/// The key by which a session's statement can be cancelled.
+/// The process id and secret that a caller must present to cancel a statement of the session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CancelKey {
     pub(crate) pid: i32,
@@ -131,12 +136,12 @@
 
     /// Serves callers until `drain` holds true and every connection's task is joined.
     ///
-    /// From the drain on, sessions are closed between transactions, and new ones are refused by the
-    /// service. A transaction that is still open after the drain's limit is rolled back between
-    /// two statements; a statement in flight is always waited for.
+    /// During the drain sessions are closed when they have no open transaction, and the service
+    /// refuses new ones. A transaction still open at the drain's time limit is rolled back between
+    /// two statements. A statement in flight is always waited for.
     pub async fn run(self, drain: watch::Receiver<bool>) {
-        let (order, _) = watch::channel(DrainOrder::Serve);
-        let (cancels, cancel_queue) = mpsc::channel(CANCEL_QUEUE);
+        let (drain_stage, _) = watch::channel(DrainStage::Serve);
+        let (cancels, cancel_queue) = mpsc::channel(CANCEL_QUEUE_CAPACITY);
         let state = EdgeState {
             edge: self,
             tasks: JoinSet::new(),
@@ -145,7 +150,7 @@
             pids: HashMap::new(),
             next_pid: 1,
             cancels,
-            order,
+            drain_stage,
         };
         state.run(cancel_queue, drain).await;
     }
@@ -158,40 +163,40 @@
     sessions: HashMap<i32, SessionHandle>,
     pids: HashMap<Id, i32>,
     next_pid: i32,
-    cancels: mpsc::Sender<CancelOrder>,
-    order: watch::Sender<DrainOrder>,
+    cancels: mpsc::Sender<QueuedCancel>,
+    drain_stage: watch::Sender<DrainStage>,
 }
 
 impl EdgeState {
     async fn run(
         mut self,
-        mut cancel_queue: mpsc::Receiver<CancelOrder>,
+        mut cancel_queue: mpsc::Receiver<QueuedCancel>,
         drain: watch::Receiver<bool>,
     ) {
         let mut drain = std::pin::pin!(crate::platform::wait_until_true(drain));
-        let mut last_call = std::pin::pin!(sleep(Duration::MAX));
+        let mut drain_limit = std::pin::pin!(sleep(Duration::MAX));
         loop {
-            let order = *self.order.borrow();
-            if order > DrainOrder::Serve && self.tasks.is_empty() {
+            let stage = *self.drain_stage.borrow();
+            if stage > DrainStage::Serve && self.tasks.is_empty() {
                 break;
             }
             tokio::select! {
                 accepted = self.edge.listener.accept() => {
-                    self.take_connection(accepted.map(|(socket, _)| socket)).await;
+                    self.accept_connection(accepted.map(|(socket, _)| socket)).await;
                 }
                 Some(ended) = self.tasks.join_next_with_id(), if !self.tasks.is_empty() => {
-                    self.note_end(ended);
+                    self.remove_connection(ended);
                 }
                 Some(_) = self.refusals.join_next(), if !self.refusals.is_empty() => {}
                 Some(cancel) = cancel_queue.recv() => self.route_cancel(cancel),
-                () = &mut drain, if order == DrainOrder::Serve => {
+                () = &mut drain, if stage == DrainStage::Serve => {
                     log_event!(Level::Info, "callers_draining", connections = self.tasks.len());
-                    self.order.send_replace(DrainOrder::EndIdle);
-                    last_call.as_mut().reset(Instant::now() + self.edge.limits.drain);
+                    self.drain_stage.send_replace(DrainStage::EndIdle);
+                    drain_limit.as_mut().reset(Instant::now() + self.edge.limits.drain);
                 }
-                () = &mut last_call, if order == DrainOrder::EndIdle => {
+                () = &mut drain_limit, if stage == DrainStage::EndIdle => {
                     log_event!(Level::Warn, "drain_limit_met", connections = self.tasks.len());
-                    self.order.send_replace(DrainOrder::EndAll);
+                    self.drain_stage.send_replace(DrainStage::EndAll);
                 }
             }
         }
@@ -199,7 +204,7 @@
         log_event!(Level::Info, "callers_drained");
     }
 
-    async fn take_connection(&mut self, accepted: io::Result<TcpStream>) {
+    async fn accept_connection(&mut self, accepted: io::Result<TcpStream>) {
         let accepted = accepted.and_then(|socket| {
             tune_stream(&socket, self.edge.limits.statement)?;
             Ok(socket)
@@ -212,7 +217,7 @@
             }
         };
         let stream = CallerStream::new(socket, self.edge.limits.stream_limits());
-        if *self.order.borrow() == DrainOrder::EndAll {
+        if *self.drain_stage.borrow() == DrainStage::EndAll {
             return self.refuse(stream, CallerError::from(SessionRefusal::Draining));
         }
         if self.tasks.len() >= self.edge.limits.connections {
@@ -222,10 +227,10 @@
         self.start(stream);
     }
 
-    /// Tells a connection at once that it isn't served, without reading what it wants.
+    /// Sends an error to a connection and closes it, without reading its start-up message.
     fn refuse(&mut self, mut stream: CallerStream, error: CallerError) {
         self.edge.metrics.count_caller_fault("turned_away");
-        if self.refusals.len() >= MOST_REFUSED {
+        if self.refusals.len() >= MAX_REFUSALS {
             return;
         }
         self.refusals.spawn(async move {
@@ -248,7 +253,7 @@
             accepted: Instant::now(),
             cancelled,
             cancels: self.cancels.clone(),
-            order: self.order.subscribe(),
+            drain_stage: self.drain_stage.subscribe(),
         };
         let handle = self.tasks.spawn(task.run());
         self.pids.insert(handle.id(), key.pid);
@@ -271,7 +276,7 @@
         }
     }
 
-    fn note_end(&mut self, ended: Result<(Id, ()), JoinError>) {
+    fn remove_connection(&mut self, ended: Result<(Id, ()), JoinError>) {
         let id = match &ended {
             Ok((id, ())) => *id,
             Err(error) => error.id(),
@@ -285,13 +290,13 @@
         }
     }
 
-    fn route_cancel(&mut self, order: CancelOrder) {
-        let Some(session) = self.sessions.get(&order.request.pid) else {
+    fn route_cancel(&mut self, queued: QueuedCancel) {
+        let Some(session) = self.sessions.get(&queued.request.pid) else {
             return;
         };
-        if order.request.secret_key.as_i32() != Some(session.secret) {
-            return log_event!(Level::Warn, "cancel_refused", pid = order.request.pid);
+        if queued.request.secret_key.as_i32() != Some(session.secret) {
+            return log_event!(Level::Warn, "cancel_refused", pid = queued.request.pid);
         }
-        session.cancel.send_replace(Some(order.accepted));
+        session.cancel.send_replace(Some(queued.accepted));
     }
 }
--- a/crates/daemon/src/callers/extended.rs
+++ b/crates/daemon/src/callers/extended.rs
@@ -1,4 +1,6 @@
-//! Prepared statements and portals of one session.
+//! The prepared statements and portals of one session, kept in the gateway.
+//!
+//! They are not prepared on endpoints, since a session's statements run on changing connections.
 
 use crate::callers::StatementShape;
 use crate::callers::answers::CallerError;
@@ -8,24 +10,25 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// How many prepared statements and portals a session may hold.
-const MOST_KEPT: usize = 1_000;
+/// The most prepared statements and portals, together, that a session may hold.
+const MAX_STORED_ITEMS: usize = 1_000;
 
-/// How many times the longest message a session's prepared statements and portals may fill.
+/// The memory limit of a session's prepared statements and portals, in multiples of the longest
+/// message.
 ///
-/// Without a bound one caller could fill the gateway's memory with statements that it never runs.
-const KEPT_MESSAGES: usize = 4;
+/// Without it one caller could fill the gateway's memory with statements that it never runs.
+const MAX_STORED_MESSAGES: usize = 4;
 
 /// A prepared statement.
 #[derive(Clone, Debug)]
 pub(crate) struct PreparedStatement {
     pub(crate) text: Arc<str>,
     pub(crate) types: Vec<u32>,
-    /// What the caller was told the rows look like, once it has asked.
+    /// The shape that was described to the caller, if it has asked for one.
     pub(crate) shape: Option<StatementShape>,
 }
 
-/// A statement with its parameters, ready to run.
+/// A portal: a prepared statement with its parameters bound.
 #[derive(Clone, Debug)]
 pub(crate) struct BoundPortal {
     pub(crate) statement: String,
@@ -34,12 +37,12 @@
     bytes: usize,
 }
 
-/// What a session has prepared and bound.
+/// The prepared statements and portals of a session, by name.
 #[derive(Debug)]
 pub(crate) struct PreparedStore {
     statements: BTreeMap<String, PreparedStatement>,
     portals: BTreeMap<String, BoundPortal>,
-    most_bytes: usize,
+    max_bytes: usize,
 }
 
 impl PreparedStore {
@@ -47,7 +50,7 @@
         Self {
             statements: BTreeMap::new(),
             portals: BTreeMap::new(),
-            most_bytes: message_bytes.saturating_mul(KEPT_MESSAGES),
+            max_bytes: message_bytes.saturating_mul(MAX_STORED_MESSAGES),
         }
     }
 
@@ -100,7 +103,7 @@
         let texts: usize = self.statements.values().map(|kept| kept.text.len()).sum();
         let values: usize = self.portals.values().map(|kept| kept.bytes).sum();
         let count = self.statements.len() + self.portals.len();
-        if count >= MOST_KEPT || texts + values + more > self.most_bytes {
+        if count >= MAX_STORED_ITEMS || texts + values + more > self.max_bytes {
             let message = "session holds too many prepared statements";
             return Err(CallerError::not_run("53400", message));
         }
@@ -119,7 +122,7 @@
             .ok_or_else(|| CallerError::not_run("34000", format!("portal {name} doesn't exist")))
     }
 
-    /// Notes what the caller was told of a statement, for portals bound from now on.
+    /// Records the shape that was described to the caller, for portals bound from now on.
     pub(crate) fn set_shape(&mut self, name: &str, shape: &StatementShape) {
         if let Some(prepared) = self.statements.get_mut(name) {
             prepared.shape = Some(shape.clone());
@@ -134,7 +137,7 @@
         self.portals.remove(name);
     }
 
-    /// Forgets all portals, as at the end of a transaction.
+    /// Closes all portals, as PostgreSQL does at the end of a transaction.
     pub(crate) fn close_portals(&mut self) {
         self.portals.clear();
     }
--- a/crates/daemon/src/callers/marks.rs
+++ b/crates/daemon/src/callers/marks.rs
@@ -1,9 +1,9 @@
-//! Request marks: what a caller says about one statement in a comment beside it.
+//! Request marks: attributes of one statement, given by the caller in an SQL comment.
 //!
-//! The form is that of sqlcommenter: `/*kind='grant',deadline_ms='500'*/` before or after the
-//! statement. A comment is taken as marks when it names one of ours; from then on every fault in it
-//! is an error. A mark that was ignored would run a request under terms that its caller didn't
-//! mean, and nobody would notice until a grant stands twice.
+//! The syntax is that of sqlcommenter: `/*kind='grant',deadline_ms='500'*/` before or after the
+//! statement. A comment that contains at least one mark's name is parsed as marks, and any fault in it
+//! is an error. If faulty marks were ignored, the request would run under other terms than its caller
+//! meant: a write without its request key, for example, could be applied twice unnoticed.
 
 use crate::callers::StatementScan;
 use ragwort_types::KindName;
@@ -13,10 +13,11 @@
 use std::fmt;
 use uuid::Uuid;
 
+/// The names of all marks.
 const MARK_NAMES: [&str; 5] = ["kind", "key", "deadline_ms", "urgent", "max_age_ms"];
 
-/// Names that sqlcommenter's libraries write; they may stand beside marks.
-const OTHER_NAMES: [&str; 8] = [
+/// The names that sqlcommenter's libraries write. They are ignored beside marks.
+const SQLCOMMENTER_NAMES: [&str; 8] = [
     "traceparent",
     "tracestate",
     "action",
@@ -30,32 +31,32 @@
 /// A fault in a request's marks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MarkFault {
-    /// The comment isn't a list of `name='value'` pairs; the text says where.
-    Form(String),
-    /// A name that is neither a mark nor one of sqlcommenter's own.
+    /// The comment isn't a list of `name='value'` pairs; contains the text from the fault on.
+    Syntax(String),
+    /// A name that is neither a mark's nor one of sqlcommenter's.
     Unknown(String),
-    /// A mark that was given before.
-    Twice(&'static str),
-    /// A value that the mark can't have.
-    Value(&'static str, &'static str),
-    /// Marks in a comment within the statement, where they have no effect.
+    /// A mark that is given more than once.
+    Duplicate(&'static str),
+    /// An invalid value; contains the mark's name and a description of valid values.
+    InvalidValue(&'static str, &'static str),
+    /// Marks in a comment within the statement, where they are not allowed.
     Misplaced,
 }
 
 impl fmt::Display for MarkFault {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Form(place) => write!(
+            Self::Syntax(found) => write!(
                 formatter,
-                "request marks: expected name='value' pairs, found `{place}`"
+                "request marks: expected name='value' pairs, found `{found}`"
             ),
             Self::Unknown(name) => write!(
                 formatter,
                 "request marks: unknown mark `{name}`, expected one of {}",
                 MARK_NAMES.join(", ")
             ),
-            Self::Twice(name) => write!(formatter, "request marks: {name} is given twice"),
-            Self::Value(name, expected) => {
+            Self::Duplicate(name) => write!(formatter, "request marks: {name} is given twice"),
+            Self::InvalidValue(name, expected) => {
                 write!(formatter, "request marks: {name}: expected {expected}")
             }
             Self::Misplaced => formatter
@@ -64,7 +65,7 @@
     }
 }
 
-/// Reads the marks out of a statement's comments.
+/// Parses the marks in a statement's comments.
 ///
 /// # Examples
 ///
@@ -83,20 +84,20 @@
 ///
 /// Returns the first fault in a comment that names a mark.
 pub fn read_marks(scan: &StatementScan<'_>) -> Result<RequestMarks, MarkFault> {
-    if scan.inner.iter().any(|comment| names_mark(comment)) {
+    if scan.inner.iter().any(|comment| contains_mark(comment)) {
         return Err(MarkFault::Misplaced);
     }
     let mut marks = RequestMarks::default();
     for comment in scan.leading.iter().chain(&scan.trailing) {
-        if names_mark(comment) {
+        if contains_mark(comment) {
             read_comment(comment, &mut marks)?;
         }
     }
     Ok(marks)
 }
 
-/// Says whether a comment has a mark's name followed by an equals sign at the start of a pair.
-fn names_mark(comment: &str) -> bool {
+/// Returns whether a comment has a pair that starts with a mark's name and an equals sign.
+fn contains_mark(comment: &str) -> bool {
     comment.split(',').any(|pair| {
         let name = pair.split_once('=').map(|(name, _)| name.trim());
         name.is_some_and(|name| MARK_NAMES.contains(&name))
@@ -115,13 +116,13 @@
         }
         rest = rest
             .strip_prefix(',')
-            .ok_or_else(|| MarkFault::Form(rest.to_owned()))?
+            .ok_or_else(|| MarkFault::Syntax(rest.to_owned()))?
             .trim_start();
     }
 }
 
 fn split_name(text: &str) -> Result<(&str, &str), MarkFault> {
-    let fault = || MarkFault::Form(text.to_owned());
+    let fault = || MarkFault::Syntax(text.to_owned());
     let (name, after) = text.split_once('=').ok_or_else(fault)?;
     let name = name.trim();
     let plain = |letter: char| letter.is_ascii_alphanumeric() || letter == '_';
@@ -131,33 +132,33 @@
     Ok((name, after.trim_start()))
 }
 
-/// Splits a quoted value off; `%41` stands for a byte and `\'` for a quote.
+/// Splits off a quoted value. `%41` decodes to one byte, and a backslash escapes the next one.
 fn split_value(text: &str) -> Result<(String, &str), MarkFault> {
-    let fault = || MarkFault::Form(text.to_owned());
+    let fault = || MarkFault::Syntax(text.to_owned());
     let body = text.strip_prefix('\'').ok_or_else(fault)?;
     let bytes = body.as_bytes();
     let mut value = Vec::new();
-    let mut place = 0;
+    let mut position = 0;
     loop {
-        match &bytes[place..] {
+        match &bytes[position..] {
             [] => return Err(fault()),
             [b'\'', ..] => break,
             [b'\\', next, ..] => {
                 value.push(*next);
-                place += 2;
+                position += 2;
             }
             [b'%', high, low, ..] => {
                 value.push(decode_hex(*high, *low).ok_or_else(fault)?);
-                place += 3;
+                position += 3;
             }
             [byte, ..] => {
                 value.push(*byte);
-                place += 1;
+                position += 1;
             }
         }
     }
     let value = String::from_utf8(value).map_err(|_| fault())?;
-    Ok((value, &body[place + 1..]))
+    Ok((value, &body[position + 1..]))
 }
 
 fn decode_hex(high: u8, low: u8) -> Option<u8> {
@@ -171,41 +172,43 @@
         "kind" => set_once(&mut marks.kind, "kind", read_kind(value)?),
         "key" => set_once(&mut marks.key, "key", read_key(value)?),
         "deadline_ms" => {
-            let deadline = read_number(value, 1..=LONGEST_DEADLINE_MS)
-                .ok_or(MarkFault::Value("deadline_ms", "a number from 1 to 600000"))?;
+            let deadline = read_number(value, 1..=LONGEST_DEADLINE_MS).ok_or(
+                MarkFault::InvalidValue("deadline_ms", "a number from 1 to 600000"),
+            )?;
             set_once(&mut marks.deadline_ms, "deadline_ms", deadline)
         }
         "urgent" => set_once(&mut marks.urgent, "urgent", read_flag(value)?),
         "max_age_ms" => {
             let age = read_number(value, 0..=u64::MAX)
-                .ok_or(MarkFault::Value("max_age_ms", "a whole number"))?;
+                .ok_or(MarkFault::InvalidValue("max_age_ms", "a whole number"))?;
             set_once(&mut marks.max_age_ms, "max_age_ms", age)
         }
-        other if OTHER_NAMES.contains(&other) => Ok(()),
+        other if SQLCOMMENTER_NAMES.contains(&other) => Ok(()),
         other => Err(MarkFault::Unknown(other.to_owned())),
     }
 }
 
 fn set_once<T>(slot: &mut Option<T>, name: &'static str, value: T) -> Result<(), MarkFault> {
     if slot.replace(value).is_some() {
-        return Err(MarkFault::Twice(name));
+        return Err(MarkFault::Duplicate(name));
     }
     Ok(())
 }
 
 fn read_kind(value: &str) -> Result<KindName, MarkFault> {
     if value.is_empty() {
-        return Err(MarkFault::Value("kind", "a kind of the contract"));
+        return Err(MarkFault::InvalidValue("kind", "a kind of the contract"));
     }
     Ok(KindName::from(value))
 }
 
 fn read_key(value: &str) -> Result<RequestKey, MarkFault> {
-    let fault = MarkFault::Value("key", "a UUID of version 7");
+    let fault = MarkFault::InvalidValue("key", "a UUID of version 7");
     let key = Uuid::parse_str(value)
         .map(RequestKey)
         .map_err(|_| fault.clone())?;
-    // A key without a readable age could be sent again after it was forgotten, and run again.
+    // The key's age must be readable from it (UUID version 7). Otherwise a retry that arrives after
+    // the key was forgotten would run the request again.
     key.to_unix_millis().map(|_| key).ok_or(fault)
 }
 
@@ -218,6 +221,6 @@
     match value {
         "1" | "true" => Ok(true),
         "0" | "false" => Ok(false),
-        _ => Err(MarkFault::Value("urgent", "1 or 0")),
+        _ => Err(MarkFault::InvalidValue("urgent", "1 or 0")),
     }
 }
--- a/crates/daemon/src/callers/mod.rs
+++ b/crates/daemon/src/callers/mod.rs
@@ -1,8 +1,9 @@
-//! The caller edge: PostgreSQL's protocol towards callers, [`StatementService`] towards the rest.
+//! The PostgreSQL front end: speaks PostgreSQL's wire protocol to callers and passes their
+//! statements to a [`StatementService`].
 //!
 //! A [`CallerEdge`] accepts connections and runs one task for each. The task owns its socket and
-//! its state: it reads one message after the other, hands each statement to the service, and sends
-//! the one answer back. It knows nothing of leaseholders and endpoints.
+//! its session state. It reads messages one at a time, passes each statement to the service and
+//! sends back its single answer. Routing to leaseholders and endpoints is up to the service.
 
 mod answers;
 mod conversation;
@@ -15,7 +16,7 @@
 mod scan;
 mod session;
 mod startup;
-mod steps;
+mod statement_class;
 mod transaction;
 mod wire;
 
@@ -24,12 +25,12 @@
 pub use answers::NOT_RUN_DETAIL;
 pub use edge::CallerEdge;
 pub use edge::CallerLimits;
-pub use edge::DrainOrder;
+pub use edge::DrainStage;
 pub use marks::MarkFault;
 pub use marks::read_marks;
 pub use ragwort_types::StatementShape;
 pub use scan::StatementScan;
-pub use steps::StatementClass;
+pub use statement_class::StatementClass;
 
 use async_trait::async_trait;
 use ragwort_types::CustomerName;
@@ -42,41 +43,41 @@
 use ragwort_types::StatementRequest;
 use ragwort_types::TransactionId;
 
-/// Who opens a session, and where.
+/// The identity of a session, taken from the caller's start-up message.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SessionOpening {
-    /// The customer: the start-up user.
+    /// The customer, given as the start-up user.
     pub customer: CustomerName,
-    /// The database group: the start-up database.
+    /// The database group, given as the start-up database.
     pub group: GroupName,
-    /// The session: the option `ragwort.session`, else the customer's name.
+    /// The session's name: the option `ragwort.session`, by default the customer's name.
     pub session: SessionName,
 }
 
-/// Why a session is not admitted.
+/// The reason for which a session is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionRefusal {
-    /// The caller shows no account's key, and the customer's contract takes nobody without one.
+    /// The caller's key belongs to no account, and the customer's contract requires a key.
     UnknownKey,
     /// The customer has no contract.
     NoContract,
     /// The customer's contract doesn't name the group.
     UnknownGroup,
-    /// The customer has as many sessions here as its contract allows.
+    /// The customer has as many sessions on this gateway as its contract allows.
     TooManySessions {
-        /// The time to wait before asking again, in milliseconds; zero if unknown.
+        /// The time to wait before a retry, in milliseconds; zero if unknown.
         come_back_after_ms: u64,
     },
     /// The gateway is shutting down.
     Draining,
-    /// The gateway has just started and knows nothing yet; it will within moments.
+    /// The gateway has just started and has not received its catalog yet.
     Starting {
-        /// The time to wait before asking again, in milliseconds.
+        /// The time to wait before a retry, in milliseconds.
         come_back_after_ms: u64,
     },
-    /// The gateway doesn't take work now, as without a lease.
+    /// The gateway accepts no work at present, for example because it has no lease.
     NotReady {
-        /// The time to wait before asking again, in milliseconds; zero if unknown.
+        /// The time to wait before a retry, in milliseconds; zero if unknown.
         come_back_after_ms: u64,
     },
 }
@@ -84,7 +85,7 @@
 /// A statement to describe without running it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DescribeRequest {
-    /// Who asks, and where.
+    /// The session that asks.
     pub opening: SessionOpening,
     /// The statement's text.
     pub text: String,
@@ -101,26 +102,27 @@
     Failed(DatabaseError),
     /// The statement was not described.
     Refused(Refusal),
-    /// The service describes nothing.
+    /// The service doesn't implement descriptions.
     Unsupported,
 }
 
-/// What runs callers' statements: the gateway's forwarding in the daemon, a fake in tests.
+/// Runs callers' statements. The daemon implements it by the gateway's forwarding.
 #[async_trait]
 pub trait StatementService: Send + Sync + 'static {
     /// Admits a session or refuses it.
     ///
     /// # Errors
     ///
-    /// Returns why the session is not admitted.
+    /// Returns the reason if the session is not admitted.
     fn open_session(&self, opening: &SessionOpening) -> Result<(), SessionRefusal>;
 
-    /// Takes note that an admitted session has ended; called once for each.
+    /// Records the end of an admitted session; called exactly once for each.
     fn close_session(&self, opening: &SessionOpening);
 
     /// Runs a statement to its final verdict.
     ///
-    /// The edge waits as long as this takes, so the service bounds it by the statement's deadline.
+    /// The edge sets no time limit of its own: the service must bound the call by the statement's
+    /// deadline.
     async fn execute(&self, request: StatementRequest) -> StatementReply;
 
     /// Describes a statement without running it.
@@ -129,6 +131,6 @@
         DescribeReply::Unsupported
     }
 
-    /// Asks to cancel a statement that `execute` runs now; its reply still comes from there.
+    /// Requests the cancellation of a running statement. Its reply still comes from `execute`.
     fn cancel(&self, id: StatementId);
 }
--- a/crates/daemon/src/callers/parameters.rs
+++ b/crates/daemon/src/callers/parameters.rs
@@ -1,4 +1,4 @@
-//! Parameters of the extended protocol, turned into their text form.
+//! Converts parameters of the extended protocol, and columns of endpoints' answers, to text format.
 
 use bytes::Bytes;
 use std::error::Error;
@@ -7,23 +7,25 @@
 use tokio_postgres::types::Type;
 use uuid::Uuid;
 
+/// The protocol's format code of binary values.
 const BINARY_FORMAT: i16 = 1;
 
-/// The version byte before a binary `jsonb`.
+/// The version byte that precedes the text in a binary `jsonb`.
 const JSONB_VERSION: u8 = 1;
 
-/// Why a parameter has no text form.
+/// The reason for which a parameter can't be converted to text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ParameterFault {
-    /// The bytes don't fit the type; the number is the parameter's place, from 1.
+    /// The bytes are not a value of the type; contains the parameter's number, from 1.
     Malformed(usize),
-    /// The type has no known text form; its number in PostgreSQL's catalog.
+    /// The type's binary format is not supported; contains the parameter's number, from 1, and the
+    /// type's OID.
     Unsupported(usize, u32),
-    /// The number of format codes fits neither none, one nor all parameters.
+    /// The number of format codes is not zero, one or the number of parameters.
     FormatCount,
 }
 
-/// Turns parameters into text.
+/// Converts parameters to text by their format codes and declared types.
 pub(crate) fn to_text_parameters(
     values: &[Option<Bytes>],
     formats: &[i16],
@@ -52,23 +54,23 @@
     Ok(texts)
 }
 
-fn bytes_to_text(bytes: &[u8], place: usize) -> Result<String, ParameterFault> {
+fn bytes_to_text(bytes: &[u8], position: usize) -> Result<String, ParameterFault> {
     match std::str::from_utf8(bytes) {
         Ok(text) if !text.contains('\0') => Ok(text.to_owned()),
-        _ => Err(ParameterFault::Malformed(place)),
+        _ => Err(ParameterFault::Malformed(position)),
     }
 }
 
-/// A column's value in text form, whichever of the known types the database gave it.
+/// The text of a column's value, decoded from the binary format of any supported type.
 ///
-/// The client library asks for binary values in the extended protocol. A value that was taken for
-/// text would be shown as garbage, or its whole answer given up as lost.
+/// `tokio_postgres` requests binary values in the extended protocol. Read as text, they would reach
+/// the caller garbled, or fail to decode and lose the whole answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ColumnText(pub(crate) String);
 
 impl<'a> FromSql<'a> for ColumnText {
     fn from_sql(kind: &Type, bytes: &'a [u8]) -> Result<Self, Box<dyn Error + Sync + Send>> {
-        // The simple protocol spells truth values like this, and callers should see one spelling.
+        // The same form as in the simple protocol, so that callers see only one.
         if *kind == Type::BOOL {
             let value = bool::from_sql(kind, bytes)?;
             return Ok(Self(if value { "t" } else { "f" }.to_owned()));
@@ -84,11 +86,11 @@
     }
 }
 
-fn binary_to_text(bytes: &[u8], type_id: u32, place: usize) -> Result<String, ParameterFault> {
+fn binary_to_text(bytes: &[u8], type_id: u32, position: usize) -> Result<String, ParameterFault> {
     let Some(kind) = known_type(type_id) else {
-        return Err(ParameterFault::Unsupported(place, type_id));
+        return Err(ParameterFault::Unsupported(position, type_id));
     };
-    let malformed = ParameterFault::Malformed(place);
+    let malformed = ParameterFault::Malformed(position);
     match kind {
         Type::BOOL => decode::<bool>(&kind, bytes).map(|value| value.to_string()),
         Type::INT2 => decode::<i16>(&kind, bytes).map(|value| value.to_string()),
@@ -100,15 +102,16 @@
         Type::UUID => Uuid::from_slice(bytes).ok().map(|value| value.to_string()),
         Type::BYTEA => Some(bytes_to_hex(bytes)),
         Type::JSONB => match bytes {
-            [JSONB_VERSION, json @ ..] => return bytes_to_text(json, place),
+            [JSONB_VERSION, json @ ..] => return bytes_to_text(json, position),
             _ => None,
         },
-        _ => return bytes_to_text(bytes, place),
+        _ => return bytes_to_text(bytes, position),
     }
     .ok_or(malformed)
 }
 
-/// Returns a type whose binary form is known here; an unspecified one was described as text.
+/// Returns the type if its binary format is supported. OID 0 stands for an unspecified type, which is
+/// described to callers as `text`.
 fn known_type(type_id: u32) -> Option<Type> {
     let kind = match type_id {
         0 => Type::TEXT,
@@ -140,7 +143,7 @@
     T::from_sql(kind, bytes).ok()
 }
 
-/// Spells infinity as PostgreSQL does.
+/// Replaces Rust's form of infinity by PostgreSQL's.
 fn float_to_text(text: String) -> String {
     text.replace("inf", "Infinity")
 }
--- a/crates/daemon/src/callers/rows.rs
+++ b/crates/daemon/src/callers/rows.rs
@@ -1,4 +1,4 @@
-//! Rows and their descriptions in the protocol's form; every value is text.
+//! Encodes rows, row descriptions and parameter descriptions; every column has the type `text`.
 
 use bytes::BufMut;
 use bytes::BytesMut;
@@ -8,13 +8,13 @@
 use pgwire::messages::data::RowDescription;
 use tokio_postgres::types::Type;
 
-/// Text has no fixed size.
+/// The type size that marks a variable-length type.
 const TEXT_SIZE: i16 = -1;
 const NO_MODIFIER: i32 = -1;
 const TEXT_FORMAT: i16 = 0;
 const NULL_LENGTH: i32 = -1;
 
-/// Describes columns; none of them is traced back to a table.
+/// Describes columns as `text`, without a table or column of origin.
 pub(crate) fn describe_columns(columns: &[String]) -> RowDescription {
     let fields = columns
         .iter()
@@ -33,7 +33,7 @@
     RowDescription::new(fields)
 }
 
-/// Describes parameters: the types that the caller declared, and text for all others.
+/// Describes parameters by the types that the caller declared, and as `text` where it declared none.
 pub(crate) fn describe_parameters(declared: &[u32], count: usize) -> ParameterDescription {
     let types = (0..count.max(declared.len()))
         .map(|index| match declared.get(index) {
@@ -44,7 +44,7 @@
     ParameterDescription::new(types)
 }
 
-/// Encodes a row. The binary form of text is the text itself, so one form serves both formats.
+/// Encodes a row. The binary format of `text` equals its text format, so one encoding serves both.
 pub(crate) fn encode_row(values: &[Option<String>]) -> DataRow {
     let mut data = BytesMut::new();
     for value in values {
--- a/crates/daemon/src/callers/running.rs
+++ b/crates/daemon/src/callers/running.rs
@@ -1,4 +1,8 @@
-//! Runs a session's statements through the service, one at a time.
+//! Runs a session's statements through the service, one at a time, and tracks the transaction state.
+//!
+//! A statement is classified by its first words, checked against the transaction state, run to its
+//! verdict, and the state is updated. Transactions that have no caller any more are rolled back, as
+//! each would pin an endpoint's connection.
 
 use crate::callers::SessionOpening;
 use crate::callers::StatementClass;
@@ -6,10 +10,10 @@
 use crate::callers::StatementService;
 use crate::callers::answers::CallerError;
 use crate::callers::marks::read_marks;
-use crate::callers::steps::complete_tag;
+use crate::callers::statement_class::command_tag;
 use crate::callers::transaction::StatementPlan;
 use crate::callers::transaction::TransactionState;
-use crate::callers::transaction::left_behind;
+use crate::callers::transaction::abandoned_transaction;
 use crate::callers::wire::CallerStream;
 use crate::log_event;
 use crate::metrics::DaemonMetrics;
@@ -31,18 +35,18 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Text of the rollback that the gateway itself sends for a transaction without a caller.
+/// The text of the rollback that the gateway sends on its own, and the tag of a completed rollback.
 const ROLLBACK_TEXT: &str = "ROLLBACK";
 
-/// What came of a statement, as the caller is told.
+/// The outcome of a statement as reported to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum StatementOutcome {
-    /// There was no statement in the text.
+    /// The text contains no statement.
     Empty,
     /// The statement ran.
     Complete(CompleteAnswer),
-    /// The statement ended a transaction that wasn't open.
-    NothingToEnd(String),
+    /// A COMMIT or ROLLBACK without an open transaction; contains its command tag.
+    EndWithoutTransaction(String),
     /// The statement was refused, failed, or its outcome is unknown.
     Failed(CallerError),
 }
@@ -55,7 +59,7 @@
     pub(crate) served_by: Option<ServedBy>,
 }
 
-/// Runs one session's statements and knows where it stands in its transaction.
+/// Runs one session's statements and holds its transaction state.
 pub(crate) struct StatementRunner {
     service: Arc<dyn StatementService>,
     opening: SessionOpening,
@@ -92,12 +96,12 @@
         self.state
     }
 
-    /// Notes an error that the gateway itself found: an open transaction has failed.
-    pub(crate) fn note_error(&mut self) {
+    /// Marks an open transaction as failed, after an error that the gateway itself detected.
+    pub(crate) fn mark_transaction_failed(&mut self) {
         self.state = self.state.after_error();
     }
 
-    /// Runs a statement to its outcome, watching the stream for a caller that leaves.
+    /// Runs a statement to its outcome, and cancels it if the caller disconnects meanwhile.
     pub(crate) async fn run(
         &mut self,
         stream: &mut CallerStream,
@@ -125,37 +129,38 @@
                     served_by: None,
                 })
             }
-            StatementPlan::NothingToEnd => {
-                StatementOutcome::NothingToEnd(complete_tag(&scan, 0, false))
+            StatementPlan::EndWithoutTransaction => {
+                StatementOutcome::EndWithoutTransaction(command_tag(&scan, 0, false))
             }
             StatementPlan::Run(step) => {
                 let marks = match check_statement(&scan, class) {
                     Ok(marks) => marks,
                     Err(error) => {
-                        self.note_error();
+                        self.mark_transaction_failed();
                         return StatementOutcome::Failed(error);
                     }
                 };
-                let request = self.make_request(text, parameters, marks, step, stream.waited());
+                let request =
+                    self.make_request(text, parameters, marks, step, stream.since_last_read());
                 let reply = self.execute(stream, request).await;
-                self.settle(&scan, step, reply).await
+                self.apply_verdict(&scan, step, reply).await
             }
         }
     }
 
-    /// Takes a verdict in: the transaction's state, and what the caller is told.
-    async fn settle(
+    /// Updates the transaction state by a verdict and returns the outcome for the caller.
+    async fn apply_verdict(
         &mut self,
         scan: &StatementScan<'_>,
         step: TransactionStep,
         reply: StatementReply,
     ) -> StatementOutcome {
         self.state = self.state.after(step, &reply.verdict);
-        if let Some(id) = left_behind(step, &reply.verdict) {
+        if let Some(id) = abandoned_transaction(step, &reply.verdict) {
             self.roll_back(id).await;
         }
-        // A transaction that can't be reached for its rollback commits nothing any more: nobody
-        // knows its name but this session, which has given it up.
+        // A transaction whose rollback failed can't be committed any more: only this session knows
+        // its id, and it uses it no further. The rollback counts as done.
         if matches!(step, TransactionStep::Rollback(_))
             && !matches!(reply.verdict, RequestVerdict::Ran(_))
         {
@@ -171,7 +176,7 @@
             }
             RequestVerdict::Ran(StatementAnswer::Done(count)) => {
                 StatementOutcome::Complete(CompleteAnswer {
-                    tag: complete_tag(scan, count, false),
+                    tag: command_tag(scan, count, false),
                     rows: None,
                     served_by: reply.served_by,
                 })
@@ -179,7 +184,7 @@
             RequestVerdict::Ran(StatementAnswer::Failed(error)) => {
                 StatementOutcome::Failed(CallerError::from(&error))
             }
-            // Groups behind this edge have endpoints that never answer so.
+            // PostgreSQL endpoints never return these kinds of answer.
             RequestVerdict::Ran(StatementAnswer::Tagged(_) | StatementAnswer::Faulted(_)) => {
                 StatementOutcome::Failed(CallerError::from(DoubtCause::AnswerMismatch))
             }
@@ -213,7 +218,7 @@
         }
     }
 
-    /// Executes a request; a cancel or a caller that leaves is passed on to the service.
+    /// Executes a request; passes a cancel request, or the caller's disconnection, on to the service.
     async fn execute(
         &mut self,
         stream: &mut CallerStream,
@@ -221,7 +226,7 @@
     ) -> StatementReply {
         let id = request.id;
         let started = Instant::now();
-        // A cancel that came before this statement was meant for an earlier one.
+        // A cancel request received before this statement was meant for an earlier one.
         self.cancelled.borrow_and_update();
         let service = Arc::clone(&self.service);
         let mut running = pin!(service.execute(request));
@@ -233,13 +238,13 @@
                 changed = self.cancelled.changed(), if !edge_gone => {
                     edge_gone = changed.is_err();
                     let accepted = *self.cancelled.borrow();
-                    // The request to cancel was on its way through the edge when this statement
-                    // started: it was meant for the one before.
+                    // A cancel request accepted before this statement started was meant for the
+                    // previous one and was delayed in the edge's queue.
                     if accepted.is_some_and(|accepted| accepted > started) {
                         service.cancel(id);
                     }
                 }
-                () = stream.wait_lost(), if !caller_gone => {
+                () = stream.wait_closed(), if !caller_gone => {
                     caller_gone = true;
                     service.cancel(id);
                 }
@@ -247,8 +252,8 @@
         }
     }
 
-    /// Refuses an answer that belongs to another statement: the caller would take a stranger's
-    /// rows for its own.
+    /// Replaces an answer that belongs to another statement by a doubt, so that a caller never
+    /// receives another caller's rows.
     fn check_reply(&self, id: StatementId, reply: StatementReply) -> StatementReply {
         if reply.id == id {
             return reply;
@@ -267,7 +272,7 @@
         }
     }
 
-    /// Rolls a transaction back for a caller that doesn't; its outcome changes nothing.
+    /// Rolls back a transaction that its caller won't end; the verdict is ignored.
     async fn roll_back(&self, id: TransactionId) {
         let step = TransactionStep::Rollback(id);
         let marks = RequestMarks::default();
@@ -275,7 +280,7 @@
         self.service.execute(request).await;
     }
 
-    /// Rolls back what the session leaves open at its end.
+    /// Rolls back the transaction that is open or failed at the end of the session, if any.
     pub(crate) async fn roll_back_open(&mut self) {
         let open = match self.state {
             TransactionState::Open(id) | TransactionState::Failed(Some(id)) => id,
@@ -303,10 +308,10 @@
 ) -> StatementOutcome {
     let width = rows.columns.len();
     if rows.rows.iter().any(|row| row.len() != width) || i16::try_from(width).is_err() {
-        return StatementOutcome::Failed(CallerError::misfit());
+        return StatementOutcome::Failed(CallerError::shape_mismatch());
     }
     StatementOutcome::Complete(CompleteAnswer {
-        tag: complete_tag(scan, rows.rows.len() as u64, true),
+        tag: command_tag(scan, rows.rows.len() as u64, true),
         rows: Some(rows),
         served_by,
     })
--- a/crates/daemon/src/callers/scan.rs
+++ b/crates/daemon/src/callers/scan.rs
@@ -1,36 +1,36 @@
-//! A scan of one statement's text for what a proxy must know and a parser needn't be asked for.
+//! A lexical scan of a statement's text, in place of a full parser.
 //!
-//! The scan skips strings, quoted names, dollar quotes and comments by PostgreSQL's lexical rules,
-//! and finds the first words, the comments, the highest parameter and whether a second statement
-//! follows. The text itself is forwarded unchanged.
+//! The scan skips strings, quoted identifiers, dollar-quoted strings and comments by PostgreSQL's
+//! lexical rules. It finds the first words, the block comments, the highest parameter number, and
+//! whether a second statement follows. The text itself is forwarded unchanged.
 
 use smallvec::SmallVec;
 
-/// How many words from the start the scan keeps; `create global temporary table` needs three, and
-/// `rollback work and no chain` five.
-const KEPT_WORDS: usize = 5;
+/// The number of words that the scan keeps. To classify `create global temporary table` takes three,
+/// and `rollback work and no chain` five.
+const MAX_WORDS: usize = 5;
 
-/// What a scan found in a statement's text.
+/// The result of scanning a statement's text.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StatementScan<'a> {
-    /// The first words, as written.
-    pub words: SmallVec<[&'a str; KEPT_WORDS]>,
-    /// The insides of block comments before the statement.
+    /// The first words before any other token, in their original case.
+    pub words: SmallVec<[&'a str; MAX_WORDS]>,
+    /// The contents of block comments before the statement.
     pub leading: SmallVec<[&'a str; 1]>,
-    /// The insides of block comments within the statement.
+    /// The contents of block comments within the statement.
     pub inner: SmallVec<[&'a str; 1]>,
-    /// The insides of block comments after the statement.
+    /// The contents of block comments after the statement.
     pub trailing: SmallVec<[&'a str; 1]>,
-    /// The highest `$n`, zero if none.
+    /// The highest parameter number (`$n`); zero if there is none.
     pub parameters: usize,
-    /// Whether there is anything but spaces, comments and semicolons.
+    /// Whether there is any token besides comments and semicolons.
     pub has_statement: bool,
-    /// Whether another statement follows after a semicolon.
-    pub has_second: bool,
+    /// Whether another statement follows a semicolon.
+    pub has_second_statement: bool,
 }
 
 impl<'a> StatementScan<'a> {
-    /// Scans a text.
+    /// Scans the text of a message.
     ///
     /// # Examples
     ///
@@ -41,24 +41,24 @@
     /// assert_eq!(scan.words.as_slice(), ["select"]);
     /// assert_eq!(scan.leading.as_slice(), ["kind='status'"]);
     /// assert_eq!(scan.parameters, 2);
-    /// assert!(!scan.has_second);
+    /// assert!(!scan.has_second_statement);
     /// ```
     pub fn new(text: &'a str) -> Self {
         let mut scanner = Scanner {
             text,
-            place: 0,
+            position: 0,
             depth: 0,
-            ended: false,
+            after_semicolon: false,
             words_done: false,
             scan: StatementScan::default(),
         };
-        while scanner.place < text.len() {
+        while scanner.position < text.len() {
             scanner.step();
         }
         scanner.scan
     }
 
-    /// Returns a kept word in lower case, or nothing.
+    /// Returns one of the first words in lower case; empty if there is none at `index`.
     pub fn word(&self, index: usize) -> String {
         self.words
             .get(index)
@@ -69,35 +69,36 @@
 
 struct Scanner<'a> {
     text: &'a str,
-    place: usize,
+    position: usize,
     depth: usize,
-    ended: bool,
+    after_semicolon: bool,
     words_done: bool,
     scan: StatementScan<'a>,
 }
 
 impl<'a> Scanner<'a> {
     fn step(&mut self) {
-        let rest = &self.text.as_bytes()[self.place..];
+        let rest = &self.text.as_bytes()[self.position..];
         match rest {
-            [byte, ..] if is_space(*byte) => self.place += 1,
+            [byte, ..] if is_space(*byte) => self.position += 1,
             [b'-', b'-', ..] => self.skip_line(),
-            [b'/', b'*', ..] => self.take_comment(),
+            [b'/', b'*', ..] => self.scan_comment(),
             [b';', ..] if self.depth == 0 => {
-                self.ended = self.scan.has_statement;
-                self.place += 1;
+                self.after_semicolon = self.scan.has_statement;
+                self.position += 1;
             }
             [byte, ..] => {
-                self.note_token();
-                self.take_token(*byte);
+                self.begin_token();
+                self.scan_token(*byte);
             }
             [] => {}
         }
     }
 
-    /// Notes that a token starts here: comments so far lie before or within the statement.
-    fn note_token(&mut self) {
-        self.scan.has_second |= self.ended;
+    /// Records that a token starts here, and sorts the comments found since the last one into leading
+    /// and inner ones.
+    fn begin_token(&mut self) {
+        self.scan.has_second_statement |= self.after_semicolon;
         let comments = std::mem::take(&mut self.scan.trailing);
         if self.scan.has_statement {
             self.scan.inner.extend(comments);
@@ -107,12 +108,12 @@
         self.scan.has_statement = true;
     }
 
-    fn take_token(&mut self, byte: u8) {
+    fn scan_token(&mut self, byte: u8) {
         match byte {
             b'\'' => self.skip_string(false),
             b'"' => self.skip_quoted(b'"'),
-            b'$' => self.take_dollar(),
-            byte if starts_word(byte) => self.take_word(),
+            b'$' => self.scan_dollar(),
+            byte if starts_word(byte) => self.scan_word(),
             byte => {
                 self.words_done = true;
                 self.depth = match byte {
@@ -120,63 +121,63 @@
                     b')' => self.depth.saturating_sub(1),
                     _ => self.depth,
                 };
-                self.place += 1;
+                self.position += 1;
             }
         }
     }
 
-    fn take_word(&mut self) {
-        let start = self.place;
+    fn scan_word(&mut self) {
+        let start = self.position;
         let bytes = self.text.as_bytes();
         while bytes
-            .get(self.place)
+            .get(self.position)
             .is_some_and(|byte| continues_word(*byte))
         {
-            self.place += 1;
+            self.position += 1;
         }
-        let word = &self.text[start..self.place];
-        if bytes.get(self.place) == Some(&b'\'') && word.eq_ignore_ascii_case("e") {
+        let word = &self.text[start..self.position];
+        if bytes.get(self.position) == Some(&b'\'') && word.eq_ignore_ascii_case("e") {
             return self.skip_string(true);
         }
-        if !self.words_done && self.scan.words.len() < KEPT_WORDS {
+        if !self.words_done && self.scan.words.len() < MAX_WORDS {
             self.scan.words.push(word);
         }
     }
 
     fn skip_line(&mut self) {
-        let rest = &self.text[self.place..];
-        self.place += rest.find(['\n', '\r']).unwrap_or(rest.len());
+        let rest = &self.text[self.position..];
+        self.position += rest.find(['\n', '\r']).unwrap_or(rest.len());
     }
 
-    /// Takes a block comment; they nest. One that doesn't end reaches to the end of the text.
-    fn take_comment(&mut self) {
-        let start = self.place + 2;
+    /// Scans a block comment. Block comments nest; an unterminated one extends to the end of the text.
+    fn scan_comment(&mut self) {
+        let start = self.position + 2;
         let bytes = self.text.as_bytes();
         let mut nested = 1;
-        self.place = start;
-        while nested > 0 && self.place < bytes.len() {
-            match &bytes[self.place..] {
+        self.position = start;
+        while nested > 0 && self.position < bytes.len() {
+            match &bytes[self.position..] {
                 [b'/', b'*', ..] => {
                     nested += 1;
-                    self.place += 2;
+                    self.position += 2;
                 }
                 [b'*', b'/', ..] => {
                     nested -= 1;
-                    self.place += 2;
+                    self.position += 2;
                 }
-                _ => self.place += 1,
+                _ => self.position += 1,
             }
         }
         let end = if nested == 0 {
-            self.place - 2
+            self.position - 2
         } else {
-            self.place
+            self.position
         };
         self.scan.trailing.push(&self.text[start..end]);
     }
 
-    /// Skips a string; in the `E''` form a backslash takes the next byte with it, and the form
-    /// holds for segments that continue the string on further lines.
+    /// Skips a string. In an `E''` string a backslash escapes the next byte, also in the segments that
+    /// continue the string on later lines.
     fn skip_string(&mut self, escapes: bool) {
         loop {
             self.skip_segment(escapes);
@@ -189,68 +190,69 @@
     fn skip_segment(&mut self, escapes: bool) {
         let bytes = self.text.as_bytes();
         self.words_done = true;
-        self.place += 1;
-        while self.place < bytes.len() {
-            match &bytes[self.place..] {
-                [b'\\', _, ..] if escapes => self.place += 2,
-                [b'\'', b'\'', ..] => self.place += 2,
+        self.position += 1;
+        while self.position < bytes.len() {
+            match &bytes[self.position..] {
+                [b'\\', _, ..] if escapes => self.position += 2,
+                [b'\'', b'\'', ..] => self.position += 2,
                 [b'\'', ..] => {
-                    self.place += 1;
+                    self.position += 1;
                     return;
                 }
-                _ => self.place += 1,
+                _ => self.position += 1,
             }
         }
-        self.place = bytes.len();
+        self.position = bytes.len();
     }
 
-    /// Goes to the next quote if only spaces with a line break and line comments lie between.
+    /// Moves to the next quote and returns true if only whitespace with a line break, and line comments,
+    /// lie between.
     fn continues_on_next_line(&mut self) -> bool {
-        let start = self.place;
+        let start = self.position;
         let bytes = self.text.as_bytes();
-        let mut broken = false;
-        while self.place < bytes.len() {
-            match &bytes[self.place..] {
+        let mut line_break_seen = false;
+        while self.position < bytes.len() {
+            match &bytes[self.position..] {
                 [b'\n' | b'\r', ..] => {
-                    broken = true;
-                    self.place += 1;
+                    line_break_seen = true;
+                    self.position += 1;
                 }
-                [byte, ..] if is_space(*byte) => self.place += 1,
+                [byte, ..] if is_space(*byte) => self.position += 1,
                 [b'-', b'-', ..] => self.skip_line(),
-                [b'\'', ..] if broken => return true,
+                [b'\'', ..] if line_break_seen => return true,
                 _ => break,
             }
         }
-        self.place = start;
+        self.position = start;
         false
     }
 
     fn skip_quoted(&mut self, quote: u8) {
         let bytes = self.text.as_bytes();
         self.words_done = true;
-        self.place += 1;
-        while self.place < bytes.len() {
-            let here = bytes[self.place];
-            let next = bytes.get(self.place + 1).copied();
-            self.place += 1;
+        self.position += 1;
+        while self.position < bytes.len() {
+            let here = bytes[self.position];
+            let next = bytes.get(self.position + 1).copied();
+            self.position += 1;
             if here == quote {
                 if next != Some(quote) {
                     return;
                 }
-                self.place += 1;
+                self.position += 1;
             }
         }
     }
 
-    /// Takes what a dollar sign starts: a parameter, a dollar-quoted string or a stray sign.
-    fn take_dollar(&mut self) {
+    /// Scans a parameter, a dollar-quoted string, or a dollar sign that starts neither.
+    fn scan_dollar(&mut self) {
         self.words_done = true;
-        let rest = &self.text[self.place + 1..];
+        let rest = &self.text[self.position + 1..];
         let digits = rest.bytes().take_while(u8::is_ascii_digit).count();
         if digits > 0 {
             let number = rest[..digits].parse().unwrap_or(usize::MAX);
             self.scan.parameters = self.scan.parameters.max(number);
-            self.place += 1 + digits;
+            self.position += 1 + digits;
             return;
         }
         let tag_length = rest
@@ -262,12 +264,12 @@
             })
             .count();
         if rest.as_bytes().get(tag_length) != Some(&b'$') {
-            self.place += 1;
+            self.position += 1;
             return;
         }
-        let tag = &self.text[self.place..self.place + tag_length + 2];
-        let body = self.place + tag.len();
-        self.place = match self.text[body..].find(tag) {
+        let tag = &self.text[self.position..self.position + tag_length + 2];
+        let body = self.position + tag.len();
+        self.position = match self.text[body..].find(tag) {
             Some(end) => body + end + tag.len(),
             None => self.text.len(),
         };
--- a/crates/daemon/src/callers/session.rs
+++ b/crates/daemon/src/callers/session.rs
@@ -1,7 +1,7 @@
-//! One caller's connection, from its first byte to its last.
+//! The task of one caller's connection: start-up, admission, conversation and closing error.
 
 use crate::callers::CallerLimits;
-use crate::callers::DrainOrder;
+use crate::callers::DrainStage;
 use crate::callers::SessionOpening;
 use crate::callers::SessionRefusal;
 use crate::callers::StatementService;
@@ -10,7 +10,7 @@
 use crate::callers::conversation::Conversation;
 use crate::callers::conversation::SessionEnd;
 use crate::callers::edge::CancelKey;
-use crate::callers::edge::CancelOrder;
+use crate::callers::edge::QueuedCancel;
 use crate::callers::extended::PreparedStore;
 use crate::callers::running::StatementRunner;
 use crate::callers::startup::Opening;
@@ -33,7 +33,7 @@
 use tokio::time::Instant;
 use tokio::time::timeout;
 
-/// What a caller's driver wants to know of its server; sessions can't change any of it.
+/// The server parameters reported to the caller's driver at start-up. Sessions can't change them.
 const SERVER_PARAMETERS: [(&str, &str); 6] = [
     ("server_version", "16.0"),
     ("server_encoding", "UTF8"),
@@ -43,7 +43,7 @@
     ("standard_conforming_strings", "on"),
 ];
 
-/// All that one connection's task owns.
+/// The state of one connection's task.
 pub(crate) struct ConnectionTask {
     pub(crate) stream: CallerStream,
     pub(crate) limits: CallerLimits,
@@ -52,8 +52,8 @@
     pub(crate) key: CancelKey,
     pub(crate) accepted: Instant,
     pub(crate) cancelled: watch::Receiver<Option<Instant>>,
-    pub(crate) cancels: mpsc::Sender<CancelOrder>,
-    pub(crate) order: watch::Receiver<DrainOrder>,
+    pub(crate) cancels: mpsc::Sender<QueuedCancel>,
+    pub(crate) drain_stage: watch::Receiver<DrainStage>,
 }
 
 impl ConnectionTask {
@@ -65,8 +65,8 @@
             Ok(Ok(Opening::Session(options))) => self.run_session(options).await,
             Ok(Ok(Opening::Cancel(request))) => {
                 let accepted = self.accepted;
-                // An edge that has ended has no statement left to cancel.
-                let _ = self.cancels.send(CancelOrder { request, accepted }).await;
+                // Sending fails if the edge has ended, which leaves no statement to cancel.
+                let _ = self.cancels.send(QueuedCancel { request, accepted }).await;
                 self.stream.close().await;
             }
             Ok(Ok(Opening::Refused(error))) => self.end_with(error).await,
@@ -94,8 +94,8 @@
         let opening = admitted.opening.clone();
         let metrics = self.metrics.clone();
         let mut stream = self.stream;
-        if let Err(fault) = greet(&mut stream, self.key).await {
-            return finish(stream, &metrics, &opening, SessionEnd::Fault(fault), true).await;
+        if let Err(fault) = complete_startup(&mut stream, self.key).await {
+            return end_session(stream, &metrics, &opening, SessionEnd::Fault(fault), true).await;
         }
         let runner = StatementRunner::new(
             self.service,
@@ -104,10 +104,11 @@
             metrics.clone(),
         );
         let store = PreparedStore::new(self.limits.message_bytes);
-        let mut conversation = Conversation::new(stream, runner, store, self.order, options.notice);
+        let mut conversation =
+            Conversation::new(stream, runner, store, self.drain_stage, options.notice);
         let end = conversation.run().await;
-        let (stream, all_told) = conversation.into_stream();
-        finish(stream, &metrics, &opening, end, all_told).await;
+        let (stream, outcomes_delivered) = conversation.into_stream();
+        end_session(stream, &metrics, &opening, end, outcomes_delivered).await;
     }
 
     async fn end_with(self, error: CallerError) {
@@ -118,24 +119,24 @@
         if let Some(name) = fault.name() {
             self.metrics.count_caller_fault(name);
         }
-        if let Some(error) = error_of(&fault) {
+        if let Some(error) = closing_error(&fault) {
             end_stream(self.stream, error, true).await;
         }
     }
 }
 
-async fn finish(
+async fn end_session(
     stream: CallerStream,
     metrics: &DaemonMetrics,
     opening: &SessionOpening,
     end: SessionEnd,
-    all_told: bool,
+    outcomes_delivered: bool,
 ) {
     match end {
         SessionEnd::Terminated => stream.close().await,
         SessionEnd::Drained => {
             let error = CallerError::from(SessionRefusal::Draining);
-            end_stream(stream, error, all_told).await;
+            end_stream(stream, error, outcomes_delivered).await;
         }
         SessionEnd::Fault(fault) => {
             if let Some(name) = fault.name() {
@@ -148,15 +149,15 @@
                     fault = fault,
                 );
             }
-            if let Some(error) = error_of(&fault) {
-                end_stream(stream, error, all_told).await;
+            if let Some(error) = closing_error(&fault) {
+                end_stream(stream, error, outcomes_delivered).await;
             }
         }
     }
 }
 
-/// Returns what a caller is told of a fault, if it can still be told.
-fn error_of(fault: &StreamFault) -> Option<CallerError> {
+/// Returns the error to send for a fault; `None` if the caller can't receive it.
+fn closing_error(fault: &StreamFault) -> Option<CallerError> {
     let sqlstate = match fault {
         StreamFault::Closed | StreamFault::Lost(_) | StreamFault::SlowReceiver => return None,
         StreamFault::TooLong(_) => "54000",
@@ -166,12 +167,12 @@
     Some(CallerError::not_run(sqlstate, fault.to_string()))
 }
 
-/// Sends a last error and closes.
+/// Sends a final error and closes the connection.
 ///
-/// With an answer sent whose end the caller hasn't seen, the error says nothing of having run: the
-/// caller would take it for the outcome of the statement that was answered.
-async fn end_stream(mut stream: CallerStream, mut error: CallerError, all_told: bool) {
-    if !all_told {
+/// If the caller has not been sent the outcome of every statement that ran, the error's DETAIL is
+/// removed: the caller would take "was not run" for the outcome of a statement that did run.
+async fn end_stream(mut stream: CallerStream, mut error: CallerError, outcomes_delivered: bool) {
+    if !outcomes_delivered {
         error.detail = None;
     }
     let response = error.to_response(ErrorScope::Connection);
@@ -180,9 +181,9 @@
     }
 }
 
-/// A session that the service has admitted; dropping it tells the service that it has ended, even
-/// when the task fails. Otherwise the customer's sessions would seem open for good, and in the end
-/// the customer would be refused.
+/// A session that the service has admitted. Dropping it reports its end to the service, even if the
+/// task panics. Otherwise the session would be counted for good, and the customer would in the end be
+/// refused for too many sessions.
 struct AdmittedSession {
     service: Arc<dyn StatementService>,
     opening: SessionOpening,
@@ -207,8 +208,10 @@
     }
 }
 
-/// Ends the start-up. Callers are known by their network: there is no password yet.
-async fn greet(stream: &mut CallerStream, key: CancelKey) -> Result<(), StreamFault> {
+/// Completes the start-up: authentication OK, server parameters, cancel key and `ReadyForQuery`.
+///
+/// There is no password authentication: callers are trusted by their network.
+async fn complete_startup(stream: &mut CallerStream, key: CancelKey) -> Result<(), StreamFault> {
     stream.finish_startup();
     stream.send(Authentication::Ok).await?;
     for (name, value) in SERVER_PARAMETERS {
--- a/crates/daemon/src/callers/startup.rs
+++ b/crates/daemon/src/callers/startup.rs
@@ -1,4 +1,5 @@
-//! The start of a caller's connection: from its first byte to its admission.
+//! The start-up phase of a caller's connection: TLS and GSS negotiation, the protocol version, and the
+//! options of the session. Encryption is declined; the protocol version is 3.0.
 
 use crate::callers::answers::CallerError;
 use crate::callers::wire::CallerStream;
@@ -15,32 +16,33 @@
 use ragwort_types::SessionName;
 use std::collections::BTreeMap;
 
-/// The longest session name; names are kept in the group's journal on three VMs.
-const SESSION_NAME_BYTES: usize = 128;
+/// The longest session name in bytes. Names are stored in the group's journal on three VMs.
+const MAX_SESSION_NAME_BYTES: usize = 128;
 
-/// The minor version of the protocol that is spoken: 3.0.
+/// The minor version of the supported protocol, 3.0.
 const MINOR_VERSION: u16 = 0;
 
-/// What opened a connection.
+/// The request that a connection started with.
 pub(crate) enum Opening {
     /// A session.
     Session(SessionOptions),
     /// A request to cancel another session's statement.
     Cancel(CancelRequest),
-    /// Options that can't be served.
+    /// A start-up message with unsupported options.
     Refused(CallerError),
 }
 
-/// What a caller asked for at start-up.
+/// The options of a start-up message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct SessionOptions {
     pub(crate) customer: CustomerName,
     pub(crate) group: GroupName,
     pub(crate) session: SessionName,
+    /// Whether a notice after each answer names the instance that served it (`ragwort.notice`).
     pub(crate) notice: bool,
 }
 
-/// Reads messages until the caller has said what it wants.
+/// Reads messages up to the start-up message or a cancel request, and declines encryption.
 pub(crate) async fn read_opening(stream: &mut CallerStream) -> Result<Opening, StreamFault> {
     loop {
         match stream.next_message().await? {
@@ -65,7 +67,8 @@
     }
 }
 
-/// Tells a caller that asked for a later minor version, or for protocol options, what it gets.
+/// Sends `NegotiateProtocolVersion` if the caller asked for another minor version or for protocol
+/// options.
 async fn negotiate_version(
     stream: &mut CallerStream,
     startup: &Startup,
@@ -110,8 +113,8 @@
     Ok(options)
 }
 
-/// Reads `-c NAME=VALUE` pairs. An option that isn't ours is refused: it would be lost with the
-/// first statement that runs on another connection.
+/// Parses `-c NAME=VALUE` pairs. Other options than the gateway's own are refused: they would be lost
+/// with the first statement that runs on another connection.
 fn set_options(text: &str, options: &mut SessionOptions) -> Result<(), CallerError> {
     let mut words = split_words(text).into_iter();
     while let Some(word) = words.next() {
@@ -127,7 +130,7 @@
             .split_once('=')
             .ok_or_else(|| option_error(&word, "expected -c NAME=VALUE"))?;
         match name {
-            "ragwort.session" if value.is_empty() || value.len() > SESSION_NAME_BYTES => {
+            "ragwort.session" if value.is_empty() || value.len() > MAX_SESSION_NAME_BYTES => {
                 return Err(option_error(name, "expected 1 to 128 bytes"));
             }
             "ragwort.session" => options.session = SessionName::from(value),
@@ -148,7 +151,7 @@
     CallerError::not_run("22023", format!("start-up option {name}: {expected}"))
 }
 
-/// Splits at spaces; a backslash takes the next character as it is.
+/// Splits at whitespace; a backslash escapes the next character.
 fn split_words(text: &str) -> Vec<String> {
     let mut words = vec![String::new()];
     let mut letters = text.chars();
--- a/crates/daemon/src/callers/statement_class.rs
+++ b/crates/daemon/src/callers/statement_class.rs
@@ -1,25 +1,25 @@
-//! What a statement does to its transaction and its connection, by its first words.
+//! Classifies statements by their first words: transaction control, ordinary, or unsupported.
 //!
-//! Connections are shared, so a statement that leaves something behind on its connection is refused
-//! before it runs: the next customer on that connection would find the setting, the prepared
-//! statement or the subscription, and the caller itself would not find it again.
+//! Endpoint connections are shared between sessions (transaction pooling), so a statement that changes
+//! the state of its connection is refused before it runs. The next customer on the connection would
+//! find the setting, prepared statement or subscription, and the caller itself would not find it again.
 
 use crate::callers::StatementScan;
 
-/// What a statement does, as far as the gateway must know.
+/// The class of a statement, which decides how the gateway handles it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatementClass {
-    /// There is no statement in the text.
+    /// The text contains no statement.
     Empty,
     /// The statement opens a transaction.
     Begin,
-    /// The statement commits.
+    /// The statement commits the transaction.
     Commit,
     /// The statement rolls back the whole transaction.
     Rollback,
     /// Any other statement.
     Ordinary,
-    /// A statement that a shared connection can't serve, and why.
+    /// A statement that can't run on a shared connection; contains the error message.
     Unsupported(&'static str),
 }
 
@@ -41,15 +41,15 @@
         if !scan.has_statement {
             return Self::Empty;
         }
-        if scan.has_second {
+        if scan.has_second_statement {
             return Self::Unsupported("expected one statement in a message");
         }
         let second = scan.word(1);
         match scan.word(0).as_str() {
             "begin" => Self::Begin,
             "start" if second == "transaction" => Self::Begin,
-            "commit" | "end" => class_of_end(scan, Self::Commit),
-            "rollback" | "abort" => class_of_end(scan, Self::Rollback),
+            "commit" | "end" => classify_end(scan, Self::Commit),
+            "rollback" | "abort" => classify_end(scan, Self::Rollback),
             "set" if matches!(second.as_str(), "local" | "transaction" | "constraints") => {
                 Self::Ordinary
             }
@@ -61,13 +61,15 @@
             ),
             "listen" | "unlisten" => Self::Unsupported("subscriptions aren't kept"),
             "copy" => Self::Unsupported("COPY isn't supported"),
-            "create" if makes_temporary(scan) => Self::Unsupported("temporary objects aren't kept"),
+            "create" if creates_temporary(scan) => {
+                Self::Unsupported("temporary objects aren't kept")
+            }
             _ => Self::Ordinary,
         }
     }
 }
 
-fn class_of_end(scan: &StatementScan<'_>, class: StatementClass) -> StatementClass {
+fn classify_end(scan: &StatementScan<'_>, class: StatementClass) -> StatementClass {
     let words: Vec<String> = (1..scan.words.len())
         .map(|index| scan.word(index))
         .collect();
@@ -84,14 +86,14 @@
     class
 }
 
-fn makes_temporary(scan: &StatementScan<'_>) -> bool {
+fn creates_temporary(scan: &StatementScan<'_>) -> bool {
     (1..scan.words.len()).any(|index| matches!(scan.word(index).as_str(), "temp" | "temporary"))
 }
 
-/// Returns the tag of a completed statement, as PostgreSQL forms it.
+/// Returns the command tag of a completed statement, in PostgreSQL's form.
 ///
 /// `count` is the number of affected or returned rows.
-pub(crate) fn complete_tag(scan: &StatementScan<'_>, count: u64, has_rows: bool) -> String {
+pub(crate) fn command_tag(scan: &StatementScan<'_>, count: u64, has_rows: bool) -> String {
     match scan.word(0).as_str() {
         "insert" => format!("INSERT 0 {count}"),
         word @ ("update" | "delete" | "merge") => {
--- a/crates/daemon/src/callers/transaction.rs
+++ b/crates/daemon/src/callers/transaction.rs
@@ -1,4 +1,7 @@
-//! Where a session stands in its transaction, and what each verdict does to that.
+//! The transaction state machine of a session: idle, open or failed.
+//!
+//! It decides whether a statement runs, is refused or is answered by the gateway, and how each verdict
+//! changes the state. As in PostgreSQL, a failed transaction accepts only its end.
 
 use crate::callers::StatementClass;
 use pgwire::messages::response::TransactionStatus;
@@ -8,33 +11,33 @@
 use ragwort_types::TransactionId;
 use ragwort_types::TransactionStep;
 
-/// Where a session stands in its transaction.
+/// The transaction state of a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TransactionState {
     /// No transaction is open.
     Idle,
     /// A transaction is open.
     Open(TransactionId),
-    /// A statement of the transaction failed; only its end is taken. The transaction is named
-    /// while a connection may still be pinned by it.
+    /// A statement of the transaction failed; only COMMIT and ROLLBACK are accepted. The id is kept
+    /// while the transaction may still pin a connection.
     Failed(Option<TransactionId>),
 }
 
-/// What to do with a statement.
+/// How a statement is handled in a given transaction state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StatementPlan {
-    /// Hand it to the service.
+    /// Run it through the service.
     Run(TransactionStep),
-    /// Roll the failed transaction back and say so, whatever comes of it.
+    /// Roll back the failed transaction and report a rollback, whatever its verdict.
     EndFailed(Option<TransactionId>),
-    /// Answer without running: there is no transaction to end.
-    NothingToEnd,
+    /// Answer with a warning, without running it: there is no transaction to end.
+    EndWithoutTransaction,
     /// Refuse it: the transaction has failed.
     RefuseInFailed,
 }
 
 impl TransactionState {
-    /// Returns the state as callers see it.
+    /// Returns the transaction status that `ReadyForQuery` reports.
     pub(crate) fn status(self) -> TransactionStatus {
         match self {
             Self::Idle => TransactionStatus::Idle,
@@ -43,7 +46,7 @@
         }
     }
 
-    /// Returns the transaction that statements can run in.
+    /// Returns the open transaction; `None` if it has failed or there is none.
     pub(crate) fn open(self) -> Option<TransactionId> {
         match self {
             Self::Open(id) => Some(id),
@@ -51,13 +54,13 @@
         }
     }
 
-    /// Plans a statement.
+    /// Decides how a statement of a class is handled in this state.
     pub(crate) fn plan(self, class: StatementClass) -> StatementPlan {
         let ends = matches!(class, StatementClass::Commit | StatementClass::Rollback);
         match (self, class) {
             (Self::Failed(transaction), _) if ends => StatementPlan::EndFailed(transaction),
             (Self::Failed(_), _) => StatementPlan::RefuseInFailed,
-            (Self::Idle, _) if ends => StatementPlan::NothingToEnd,
+            (Self::Idle, _) if ends => StatementPlan::EndWithoutTransaction,
             (Self::Idle, StatementClass::Begin) => {
                 StatementPlan::Run(TransactionStep::Begin(TransactionId::fresh()))
             }
@@ -72,7 +75,7 @@
         }
     }
 
-    /// Returns the state after an error that the gateway itself found.
+    /// Returns the state after an error that the gateway itself detected.
     pub(crate) fn after_error(self) -> Self {
         match self {
             Self::Open(id) => Self::Failed(Some(id)),
@@ -82,30 +85,34 @@
 
     /// Returns the state after a step's verdict.
     ///
-    /// A failed commit ends the transaction, as in PostgreSQL: drivers don't send a rollback
-    /// after it, and a session kept in the failed state would refuse all that follows.
+    /// A failed commit ends the transaction, as in PostgreSQL. Drivers send no rollback after it,
+    /// so a session kept in the failed state would refuse every later statement.
     pub(crate) fn after(self, step: TransactionStep, verdict: &RequestVerdict) -> Self {
         match step {
             TransactionStep::Single => self,
             TransactionStep::Begin(id) if is_success(verdict) => Self::Open(id),
             TransactionStep::Begin(_) => Self::Idle,
             TransactionStep::Within(_) if is_success(verdict) => self,
-            TransactionStep::Within(_) if is_lost(verdict) => Self::Failed(None),
+            TransactionStep::Within(_) if is_transaction_lost(verdict) => Self::Failed(None),
             TransactionStep::Within(id) => Self::Failed(Some(id)),
             TransactionStep::Commit(_) | TransactionStep::Rollback(_) => Self::Idle,
         }
     }
 }
 
-/// Returns the transaction that a step's verdict leaves behind without a caller to end it: its
-/// connection would stay pinned until its deadline.
-pub(crate) fn left_behind(
+/// Returns the transaction that may still be open after a step's verdict though the caller won't end
+/// it. The gateway has to roll it back, or its connection would stay pinned until its deadline.
+pub(crate) fn abandoned_transaction(
     step: TransactionStep,
     verdict: &RequestVerdict,
 ) -> Option<TransactionId> {
     match (step, verdict) {
         (TransactionStep::Begin(id), RequestVerdict::MayHaveRun(_)) => Some(id),
-        (TransactionStep::Commit(id), RequestVerdict::NotRun(_)) if !is_lost(verdict) => Some(id),
+        (TransactionStep::Commit(id), RequestVerdict::NotRun(_))
+            if !is_transaction_lost(verdict) =>
+        {
+            Some(id)
+        }
         _ => None,
     }
 }
@@ -117,6 +124,6 @@
     )
 }
 
-fn is_lost(verdict: &RequestVerdict) -> bool {
+fn is_transaction_lost(verdict: &RequestVerdict) -> bool {
     matches!(verdict, RequestVerdict::NotRun(refusal) if refusal.cause == RefusalCause::TransactionLost)
 }
--- a/crates/daemon/src/callers/wire.rs
+++ b/crates/daemon/src/callers/wire.rs
@@ -1,9 +1,9 @@
-//! One caller's byte stream: whole messages in, encoded messages out.
+//! Framing of one caller's connection: reads and decodes messages, encodes and writes answers.
 //!
-//! The codec of `pgwire` decodes a message from a buffer that may hold more than the message. It
-//! trusts the counts inside, so a malformed message could make it read into the next one or panic.
-//! Here each message is first cut out by its length, decoded alone and must be used up. Limits on
-//! length and time are kept here too, as the codec has none of its own.
+//! The codec of `pgwire` decodes from a buffer that may hold more than one message, and trusts the
+//! counts inside of a message. A malformed message could make it read into the next one or panic.
+//! Therefore each message is first split off by its length field, decoded on its own, and must be
+//! consumed entirely. The limits on length and time, which the codec lacks, are enforced here too.
 
 use bytes::Buf;
 use bytes::BytesMut;
@@ -23,41 +23,42 @@
 use tokio::time::timeout;
 use tokio::time::timeout_at;
 
-/// The longest start-up message, as PostgreSQL has it.
-const STARTUP_BYTES: usize = 10_000;
+/// The longest start-up message in bytes, the same as PostgreSQL's limit.
+const MAX_STARTUP_BYTES: usize = 10_000;
 
+/// The size of a message's length field, which counts itself.
 const LENGTH_BYTES: usize = 4;
 
-/// How much is written at once, and how much may gather before it is written.
-const WRITE_CHUNK: usize = 65_536;
+/// The most bytes in one write, and the number of buffered bytes that triggers a write.
+const WRITE_CHUNK_BYTES: usize = 65_536;
 
-/// How long a connection waits for the caller to close it after an error was sent.
+/// The longest wait of a closing connection for the caller to close its side.
 ///
-/// Closing a socket with unread bytes resets it, and the reset may overtake the error: the caller
-/// would see a broken connection in place of the reason.
+/// Closing a socket with unread bytes resets the connection. The reset may overtake the error sent
+/// before, and the caller would see a broken connection without the reason.
 const LINGER: Duration = Duration::from_millis(500);
 
-/// Why a stream can't go on.
+/// The reason for which a stream can't be used any more.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum StreamFault {
     /// The caller closed the connection between two messages.
     Closed,
-    /// The connection broke.
+    /// The connection broke, or was closed within a message.
     Lost(io::ErrorKind),
-    /// A message is longer than the limit.
+    /// A message is longer than the limit; contains its length in bytes.
     TooLong(usize),
-    /// A message wasn't whole in time after its first byte.
+    /// A message was not complete within the time limit after its first byte.
     SlowSender,
-    /// An answer wasn't taken in time.
+    /// The caller didn't receive a part of an answer within the time limit.
     SlowReceiver,
-    /// A message isn't one of the protocol's.
+    /// A message doesn't follow the protocol.
     Malformed(String),
     /// A statement's text isn't UTF-8.
     NotText,
 }
 
 impl StreamFault {
-    /// Returns a name for logs and metrics; none when the caller simply left.
+    /// Returns the fault's name for metrics; `None` if the caller closed the connection normally.
     pub(crate) fn name(&self) -> Option<&'static str> {
         match self {
             Self::Closed => None,
@@ -93,33 +94,34 @@
     }
 }
 
-/// Which messages are expected.
+/// The phase of the protocol, which decides how messages are framed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum MessagePhase {
-    /// Start-up messages, which have a length and no type.
+    /// Start-up messages, which have a length but no type byte.
     Startup,
-    /// All later ones, which have a type and a length.
+    /// All later messages, which have a type byte and a length.
     Regular,
 }
 
-/// Limits of one stream.
+/// The limits of one stream: the longest message, and the time limit of a transfer (see
+/// [`CallerLimits`](crate::callers::CallerLimits)).
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StreamLimits {
     pub(crate) message_bytes: usize,
     pub(crate) statement: Duration,
 }
 
-/// A caller's stream.
+/// A caller's connection with its read and write buffers.
 pub(crate) struct CallerStream {
     socket: TcpStream,
     limits: StreamLimits,
     phase: MessagePhase,
     inbound: BytesMut,
     outbound: BytesMut,
-    /// When the first byte of a message that isn't whole was seen.
-    begun: Option<Instant>,
-    /// When bytes last arrived.
-    arrived: Instant,
+    /// When the first byte of the incomplete message in `inbound` was seen.
+    partial_since: Option<Instant>,
+    /// When bytes were last received.
+    last_read: Instant,
 }
 
 impl CallerStream {
@@ -130,22 +132,22 @@
             phase: MessagePhase::Startup,
             inbound: BytesMut::new(),
             outbound: BytesMut::new(),
-            begun: None,
-            arrived: Instant::now(),
+            partial_since: None,
+            last_read: Instant::now(),
         }
     }
 
-    /// Ends the start-up: messages have a type from now on.
+    /// Switches to the regular phase: from now on messages have a type byte.
     pub(crate) fn finish_startup(&mut self) {
         self.phase = MessagePhase::Regular;
     }
 
-    /// Returns how long the last message has waited here.
-    pub(crate) fn waited(&self) -> Duration {
-        self.arrived.elapsed()
+    /// Returns the time since bytes were last received: the time the last message has spent here.
+    pub(crate) fn since_last_read(&self) -> Duration {
+        self.last_read.elapsed()
     }
 
-    /// Returns the next message. Nothing is lost when the returned future is dropped.
+    /// Returns the next message. Cancel safe: received bytes stay buffered if the future is dropped.
     pub(crate) async fn next_message(&mut self) -> Result<PgWireFrontendMessage, StreamFault> {
         loop {
             if let Some(frame) = self.take_frame()? {
@@ -157,7 +159,7 @@
 
     fn take_frame(&mut self) -> Result<Option<BytesMut>, StreamFault> {
         let (type_bytes, longest) = match self.phase {
-            MessagePhase::Startup => (0, STARTUP_BYTES),
+            MessagePhase::Startup => (0, MAX_STARTUP_BYTES),
             MessagePhase::Regular => (1, self.limits.message_bytes),
         };
         let Some(length) = self.inbound.get(type_bytes..type_bytes + LENGTH_BYTES) else {
@@ -174,24 +176,24 @@
         if self.inbound.len() < type_bytes + length {
             return Ok(None);
         }
-        self.begun = None;
+        self.partial_since = None;
         Ok(Some(self.inbound.split_to(type_bytes + length)))
     }
 
-    /// Reads what has come; within a message, not beyond its deadline.
+    /// Reads available bytes. Within a message the wait is bounded by the message's time limit.
     async fn read_more(&mut self) -> Result<(), StreamFault> {
         let count = if self.inbound.is_empty() {
             self.socket.read_buf(&mut self.inbound).await?
         } else {
-            let begun = *self.begun.get_or_insert_with(Instant::now);
+            let partial_since = *self.partial_since.get_or_insert_with(Instant::now);
             timeout_at(
-                begun + self.limits.statement,
+                partial_since + self.limits.statement,
                 self.socket.read_buf(&mut self.inbound),
             )
             .await
             .map_err(|_| StreamFault::SlowSender)??
         };
-        self.arrived = Instant::now();
+        self.last_read = Instant::now();
         match count {
             0 if self.inbound.is_empty() => Err(StreamFault::Closed),
             0 => Err(StreamFault::Lost(io::ErrorKind::UnexpectedEof)),
@@ -199,35 +201,35 @@
         }
     }
 
-    /// Waits until the caller is gone, reading ahead up to the longest message.
+    /// Waits until the caller disconnects, reading ahead up to the longest message.
     ///
-    /// Without it a caller that leaves while its statement waits or runs would hold its place in
-    /// the queue, and perhaps a slot, until the deadline.
-    pub(crate) async fn wait_lost(&mut self) {
+    /// Without it the statement of a caller that has disconnected would keep its place in the queue,
+    /// or its slot, until the deadline.
+    pub(crate) async fn wait_closed(&mut self) {
         while self.inbound.len() <= self.limits.message_bytes {
             match self.socket.read_buf(&mut self.inbound).await {
                 Ok(0) | Err(_) => return,
-                Ok(_) => self.arrived = Instant::now(),
+                Ok(_) => self.last_read = Instant::now(),
             }
         }
         std::future::pending().await
     }
 
-    /// Adds a message to what will be written.
+    /// Appends a message to the write buffer, and flushes the buffer once it has a full chunk.
     pub(crate) async fn send(&mut self, message: impl Message) -> Result<(), StreamFault> {
         message
             .encode(&mut self.outbound)
             .map_err(|error| StreamFault::Malformed(error.to_string()))?;
-        if self.outbound.len() >= WRITE_CHUNK {
+        if self.outbound.len() >= WRITE_CHUNK_BYTES {
             self.flush().await?;
         }
         Ok(())
     }
 
-    /// Writes all that was sent; a chunk that isn't taken in time is a fault.
+    /// Writes the whole write buffer, each chunk within the time limit.
     pub(crate) async fn flush(&mut self) -> Result<(), StreamFault> {
         while !self.outbound.is_empty() {
-            let length = self.outbound.len().min(WRITE_CHUNK);
+            let length = self.outbound.len().min(WRITE_CHUNK_BYTES);
             timeout(
                 self.limits.statement,
                 self.socket.write_all(&self.outbound[..length]),
@@ -239,17 +241,17 @@
         Ok(())
     }
 
-    /// Writes what is left, says goodbye and waits a moment for the caller to close.
+    /// Flushes, shuts down the sending side and waits up to [`LINGER`] for the caller to close.
     pub(crate) async fn close(mut self) {
-        let farewell = async {
+        let closing = async {
             self.flush().await?;
             self.socket.shutdown().await?;
             let mut unread = [0; 4_096];
             while self.socket.read(&mut unread).await? > 0 {}
             Ok::<(), StreamFault>(())
         };
-        // The connection ends here in any case; a fault on the way changes nothing.
-        let _ = timeout(LINGER, farewell).await;
+        // The connection ends in any case, so faults are ignored.
+        let _ = timeout(LINGER, closing).await;
     }
 }
 
@@ -259,8 +261,8 @@
 ) -> Result<PgWireFrontendMessage, StreamFault> {
     check_text(&frame, phase)?;
     let kind = frame.first().copied().unwrap_or_default();
-    // The codec panics on counts that point beyond the message. Unhandled, that would end the
-    // connection without a reason; the state it leaves behind is this frame, which is dropped.
+    // The codec panics on counts that point beyond the message. Uncaught, that would end the
+    // connection without an error. Unwind safe: the only state touched is the frame, which is dropped.
     let decoded = catch_unwind(AssertUnwindSafe(|| {
         let message = decode_whole(&mut frame, phase);
         (message, frame.is_empty())
@@ -292,8 +294,8 @@
     PgWireFrontendMessage::decode(frame, &context)
 }
 
-/// Refuses a statement that isn't UTF-8; the codec would put replacement characters into its text,
-/// and the database would store something that the caller never sent.
+/// Refuses a statement that isn't UTF-8. The codec would decode it with replacement characters, and
+/// the database would store text that the caller never sent.
 fn check_text(frame: &[u8], phase: MessagePhase) -> Result<(), StreamFault> {
     let strings = match (phase, frame.first()) {
         (MessagePhase::Regular, Some(b'Q')) => 1,
--- a/crates/daemon/src/sessions/edge.rs
+++ b/crates/daemon/src/sessions/edge.rs
@@ -1,13 +1,14 @@
-//! Accepts callers' connections and joins their tasks.
+//! Accepts callers' connections, joins their tasks, and closes sessions in a drain or while the
+//! gateway is isolated.
 
 use crate::callers::CallerLimits;
-use crate::callers::DrainOrder;
+use crate::callers::DrainStage;
 use crate::edges::CallerProtocol;
 use crate::log_event;
 use crate::metrics::DaemonMetrics;
 use crate::platform::wait_until_true;
-use crate::sessions::SessionOrder;
 use crate::sessions::SessionService;
+use crate::sessions::SessionSignals;
 use crate::sessions::session::SessionSocket;
 use crate::sessions::session::SessionTask;
 use crate::sockets::tune_stream;
@@ -26,12 +27,12 @@
 use tokio::time::interval;
 use tokio::time::sleep;
 
-/// How long to wait after a failed accept. A process without free descriptors fails each accept at
-/// once; trying again at once would keep a core busy and the log full.
+/// The pause after a failed accept. In a process without free file descriptors every accept fails at
+/// once; without a pause the loop would occupy a core and fill the log.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// How often it's looked whether sessions are better served elsewhere, and whether accounts changed.
-const SESSION_LOOK: Duration = Duration::from_millis(100);
+/// The interval of the checks for isolation of this gateway and for changed accounts and contracts.
+const SESSION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Accepts callers on one address and runs a task for each connection.
 pub struct SessionEdge {
@@ -39,42 +40,43 @@
     pub listener: TcpListener,
     /// The edge's limits.
     pub limits: CallerLimits,
-    /// How callers speak.
+    /// The codec of the callers' protocol.
     pub protocol: Arc<dyn CallerProtocol>,
-    /// What runs their statements.
+    /// The service that admits sessions and runs their statements.
     pub service: Arc<dyn SessionService>,
-    /// The metrics.
+    /// The daemon's metrics.
     pub metrics: DaemonMetrics,
-    /// This VM, for sessions' names.
+    /// The name of this VM, a part of the sessions' names.
     pub vm: VmName,
-    /// How long this VM reaches nobody before its sessions are closed.
+    /// The time for which this gateway must be isolated before its idle sessions are closed.
     pub isolation_limit: Duration,
 }
 
 impl SessionEdge {
     /// Serves callers until `drain` holds true and every connection's task is joined.
     ///
-    /// From the drain on sessions are closed between transactions. A transaction that is still open
-    /// after the drain's limit is rolled back between two statements; a statement in flight is
+    /// During the drain sessions are closed when they have no open transaction. A transaction still
+    /// open at the drain's time limit is rolled back between two statements. A statement in flight is
     /// always waited for.
     ///
-    /// While this gateway reaches nobody, sessions are closed between transactions as well: their
-    /// callers would be refused for as long as the cut lasts. Each that comes back by a gateway that isn't
-    /// cut off stays there, whether or not the balancer has noticed.
+    /// While this gateway is isolated, without a lease and without a way to any other gateway, sessions
+    /// without an open transaction are closed too, as their statements would be refused until the
+    /// network heals. Callers that reconnect through another gateway stay there, even if the load
+    /// balancer hasn't noticed yet.
     pub async fn run(self, drain: watch::Receiver<bool>) {
-        let (order, _) = watch::channel(SessionOrder {
-            drain: DrainOrder::Serve,
+        let (signals, _) = watch::channel(SessionSignals {
+            drain: DrainStage::Serve,
             caller_changes: self.service.caller_changes(),
         });
         let mut tasks = JoinSet::new();
         let mut drain = std::pin::pin!(wait_until_true(drain));
-        let mut last_call = std::pin::pin!(sleep(Duration::MAX));
+        let mut drain_limit = std::pin::pin!(sleep(Duration::MAX));
         let mut accepted_count = 0_u64;
         let mut draining = false;
-        let mut look = interval(SESSION_LOOK);
-        look.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut check = interval(SESSION_CHECK_INTERVAL);
+        check.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            let present = order.borrow().drain;
+            let stage = signals.borrow().drain;
             if draining && tasks.is_empty() {
                 break;
             }
@@ -82,48 +84,48 @@
                 accepted = self.listener.accept() => {
                     accepted_count += 1;
                     let accepted = accepted.map(|(stream, _)| stream);
-                    self.take_connection(accepted, accepted_count, &order, &mut tasks).await;
+                    self.accept_connection(accepted, accepted_count, &signals, &mut tasks).await;
                 }
                 Some(_) = tasks.join_next(), if !tasks.is_empty() => {}
-                _ = look.tick() => {
-                    self.follow_callers(&order);
+                _ = check.tick() => {
+                    self.publish_caller_changes(&signals);
                     if !draining {
-                        self.send_away(&order, tasks.len());
+                        self.update_isolation(&signals, tasks.len());
                     }
                 }
                 () = &mut drain, if !draining => {
                     draining = true;
                     log_event!(Level::Info, "callers_draining", connections = tasks.len());
-                    order.send_modify(|order| order.drain = DrainOrder::EndIdle);
-                    last_call.as_mut().reset(Instant::now() + self.limits.drain);
+                    signals.send_modify(|signals| signals.drain = DrainStage::EndIdle);
+                    drain_limit.as_mut().reset(Instant::now() + self.limits.drain);
                 }
-                () = &mut last_call, if draining && present == DrainOrder::EndIdle => {
+                () = &mut drain_limit, if draining && stage == DrainStage::EndIdle => {
                     log_event!(Level::Warn, "drain_limit_met", connections = tasks.len());
-                    order.send_modify(|order| order.drain = DrainOrder::EndAll);
+                    signals.send_modify(|signals| signals.drain = DrainStage::EndAll);
                 }
             }
         }
         log_event!(Level::Info, "callers_drained");
     }
 
-    /// Lets sessions look whether their callers are still taken, if accounts or contracts changed.
-    fn follow_callers(&self, order: &watch::Sender<SessionOrder>) {
+    /// Notifies sessions of changed accounts or contracts, so that each checks its caller's admission.
+    fn publish_caller_changes(&self, signals: &watch::Sender<SessionSignals>) {
         let present = self.service.caller_changes();
-        order.send_if_modified(|order| {
-            std::mem::replace(&mut order.caller_changes, present) != present
+        signals.send_if_modified(|signals| {
+            std::mem::replace(&mut signals.caller_changes, present) != present
         });
     }
 
-    /// Closes idle sessions while this gateway reaches nobody, and stops when it does again.
-    fn send_away(&self, order: &watch::Sender<SessionOrder>, connections: usize) {
+    /// Starts or stops closing idle sessions, as this gateway becomes isolated or reaches others again.
+    fn update_isolation(&self, signals: &watch::Sender<SessionSignals>, connections: usize) {
         let wanted = match self.service.sends_sessions_away(self.isolation_limit) {
-            true => DrainOrder::EndIdle,
-            false => DrainOrder::Serve,
+            true => DrainStage::EndIdle,
+            false => DrainStage::Serve,
         };
-        let ordered = order
+        let changed = signals
             .send_if_modified(|present| std::mem::replace(&mut present.drain, wanted) != wanted);
-        if ordered {
-            let away = wanted == DrainOrder::EndIdle;
+        if changed {
+            let away = wanted == DrainStage::EndIdle;
             log_event!(
                 Level::Warn,
                 "callers_sent_away",
@@ -133,11 +135,11 @@
         }
     }
 
-    async fn take_connection(
+    async fn accept_connection(
         &self,
         accepted: io::Result<TcpStream>,
         number: u64,
-        order: &watch::Sender<SessionOrder>,
+        signals: &watch::Sender<SessionSignals>,
         tasks: &mut JoinSet<()>,
     ) {
         let tuned = accepted.and_then(|stream| {
@@ -160,7 +162,7 @@
             limits: self.limits,
             service: Arc::clone(&self.service),
             metrics: self.metrics.clone(),
-            order: order.subscribe(),
+            signals: signals.subscribe(),
             name: SessionName::from(format!("{}-{number}", self.vm)),
             waited: Duration::ZERO,
         };
--- a/crates/daemon/src/sessions/mod.rs
+++ b/crates/daemon/src/sessions/mod.rs
@@ -1,15 +1,16 @@
-//! Sessions of callers that share connections without knowing it.
+//! Sessions of callers whose protocol is a [`CallerProtocol`](crate::edges::CallerProtocol), for
+//! databases that keep terms of their own.
 //!
-//! The bytes are a [`CallerProtocol`](crate::edges::CallerProtocol)'s matter. Here is what a session
-//! is: its values, its prepared statements, its transaction, and the position of its last write.
-//! [`state`] holds that and decides what a statement becomes; [`edge`] accepts connections and runs
-//! one task for each.
+//! Sessions share the connections to endpoints, so a session's state is kept in the gateway: its
+//! values, its prepared statements, its transaction, and the position of its last write. [`state`]
+//! holds it and decides how each statement is executed, without I/O. [`edge`] accepts connections and
+//! runs one task for each.
 
 pub mod edge;
 mod session;
 pub mod state;
 
-use crate::callers::DrainOrder;
+use crate::callers::DrainStage;
 use crate::callers::SessionRefusal;
 use async_trait::async_trait;
 use ragwort_types::AccountKey;
@@ -21,61 +22,62 @@
 use ragwort_types::StatementRequest;
 use std::time::Duration;
 
-/// The kind of statements that read, in contracts that tell kinds apart by what they do.
+/// The kind of statements that read, in contracts whose kinds are derived from the statement.
 pub const READ_KIND: &str = "read";
 
-/// The kind of statements that write.
+/// The kind of statements that write, in the same contracts.
 pub const WRITE_KIND: &str = "write";
 
-/// The kind of statements that end a transaction.
+/// The kind of statements that end a transaction, in the same contracts.
 pub const END_KIND: &str = "end";
 
-/// For whom a session works.
+/// The caller that a session was admitted for.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SessionCaller {
-    /// The account; none where a contract takes callers without a key.
+    /// The account; `None` if the caller showed no key and the contract requires none.
     pub account: Option<AccountName>,
-    /// The digest of the key that was shown, if it is an account's.
+    /// The digest of the caller's key, if the key belongs to an account.
     pub digest: Option<KeyDigest>,
 }
 
-/// What the edge asks of its sessions.
+/// The signals from the edge to its sessions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SessionOrder {
-    /// Whether they are to end.
-    pub drain: DrainOrder,
-    /// How often it changed which callers are taken: each looks whether its own still is.
+pub struct SessionSignals {
+    /// The stage of the drain, which decides when sessions end.
+    pub drain: DrainStage,
+    /// The number of changes of accounts and contracts so far. On each change every session checks
+    /// whether its caller would still be admitted.
     pub caller_changes: u64,
 }
 
-/// What runs sessions' statements: the gateway in the daemon, a fake in tests.
+/// Admits sessions and runs their statements. The daemon implements it by its gateway.
 #[async_trait]
 pub trait SessionService: Send + Sync + 'static {
-    /// Admits a session under a database's name, or refuses it.
+    /// Admits a session to a database, or refuses it.
     ///
     /// # Errors
     ///
-    /// Returns why the session is not admitted.
+    /// Returns the reason if the session is not admitted.
     fn admit(
         &self,
         database: &CustomerName,
         key: &AccountKey,
     ) -> Result<SessionCaller, SessionRefusal>;
 
-    /// Says whether a caller that was admitted still would be, as far as accounts and keys go.
+    /// Returns whether the accounts and keys in force still allow a caller that was admitted earlier.
     fn takes(&self, database: &CustomerName, caller: &SessionCaller) -> bool;
 
-    /// Returns how often it changed which callers are taken.
+    /// Returns the number of changes so far of the accounts and contracts that decide on admission.
     fn caller_changes(&self) -> u64;
 
-    /// Takes note that an admitted session has ended; called once for each.
+    /// Records the end of an admitted session; called exactly once for each.
     fn release(&self, database: &CustomerName);
 
-    /// Says whether sessions are better served by another gateway: this one has reached nobody for
-    /// `notice`.
+    /// Returns whether this gateway has been isolated for `notice`, without a lease and without a way to
+    /// any other gateway, so that sessions should move to another one.
     fn sends_sessions_away(&self, notice: Duration) -> bool;
 
-    /// Returns the group that serves a database's name now.
+    /// Returns the group that serves a database at present.
     fn find_group(&self, database: &CustomerName) -> Option<GroupName>;
 
     /// Runs a statement to its final verdict.
--- a/crates/daemon/src/sessions/session.rs
+++ b/crates/daemon/src/sessions/session.rs
@@ -1,7 +1,7 @@
-//! One caller's connection, from its first byte to its last.
+//! The task of one caller's connection: opening, admission, statements, and the end of the session.
 
 use crate::callers::CallerLimits;
-use crate::callers::DrainOrder;
+use crate::callers::DrainStage;
 use crate::callers::SessionRefusal;
 use crate::edges::CallerAnswer;
 use crate::edges::CallerError;
@@ -13,8 +13,8 @@
 use crate::log_event;
 use crate::metrics::DaemonMetrics;
 use crate::sessions::SessionCaller;
-use crate::sessions::SessionOrder;
 use crate::sessions::SessionService;
+use crate::sessions::SessionSignals;
 use crate::sessions::state::CallerSession;
 use crate::sessions::state::SessionStep;
 use crate::sessions::state::StatementDraft;
@@ -40,37 +40,37 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
-/// The bytes read at once. Statements take some hundred bytes.
+/// The buffer space reserved for one read, in bytes. Statements take a few hundred bytes.
 const READ_BYTES: usize = 1_024;
 
-/// How long a session may wait for a gateway that starts. First leases are there after 0.5 s; callers
-/// give an opening up after 2 s and have their own deadlines before.
-const START_PATIENCE: Duration = Duration::from_millis(800);
+/// The longest wait of a new session for a starting gateway. First leases arrive after 0.5 s; callers
+/// give up an opening after 2 s, or earlier by deadlines of their own.
+const START_WAIT_LIMIT: Duration = Duration::from_millis(800);
 
-/// How often a session looks meanwhile whether the gateway has started.
-const START_LOOK: Duration = Duration::from_millis(20);
+/// The interval at which a waiting session retries its admission.
+const START_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// All that one connection's task owns.
+/// The state of one connection's task.
 pub(super) struct SessionTask {
     pub(super) socket: SessionSocket,
     pub(super) limits: CallerLimits,
     pub(super) service: Arc<dyn SessionService>,
     pub(super) metrics: DaemonMetrics,
-    pub(super) order: watch::Receiver<SessionOrder>,
-    /// Unique among this gateway's sessions.
+    pub(super) signals: watch::Receiver<SessionSignals>,
+    /// The session's name, unique among this gateway's sessions.
     pub(super) name: SessionName,
-    /// How long the caller has waited for its session, until it has the answer to a statement.
+    /// The time that the caller waited for admission; zero after the answer to its first statement.
     pub(super) waited: Duration,
 }
 
-/// Why a connection ends.
+/// The reason for which a connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SocketEnd {
-    /// The caller closed it, or it broke.
+    /// The caller closed the connection, or it broke.
     Closed,
-    /// The caller was too slow.
+    /// The caller exceeded the time limit for sending or receiving a message.
     Slow,
-    /// The bytes are no message.
+    /// The received bytes are not a message of the protocol.
     Fault(ProtocolFault),
 }
 
@@ -93,36 +93,36 @@
                 return;
             }
         };
-        let asked = Instant::now();
+        let began = Instant::now();
         let caller = match self.admit(&database, &key).await {
             Ok(caller) => caller,
             Err(refusal) => return self.refuse(&database, refusal).await,
         };
         drop(key);
-        self.waited = asked.elapsed();
+        self.waited = began.elapsed();
         let admitted = AdmittedSession {
             service: Arc::clone(&self.service),
             database,
             caller,
         };
-        self.converse(&admitted).await;
+        self.serve_session(&admitted).await;
     }
 
-    /// Admits the session, and waits for that while the gateway starts.
+    /// Admits the session, and retries while the gateway is starting.
     ///
-    /// When all gateways have lost power, callers come back the moment that they listen, which is some
-    /// hundred milliseconds before the first leases. Refused then, they use up their attempts on every
-    /// gateway; a moment later they would have been served.
+    /// After a power loss of all gateways, callers reconnect as soon as the gateways listen, which is
+    /// some hundred milliseconds before the first leases. If they were refused then, they would use up
+    /// their attempts on every gateway shortly before they could be served.
     async fn admit(
         &self,
         database: &CustomerName,
         key: &AccountKey,
     ) -> Result<SessionCaller, SessionRefusal> {
-        let patience = Instant::now() + START_PATIENCE;
+        let deadline = Instant::now() + START_WAIT_LIMIT;
         loop {
             match self.service.admit(database, key) {
-                Err(SessionRefusal::Starting { .. }) if Instant::now() < patience => {
-                    sleep(START_LOOK).await;
+                Err(SessionRefusal::Starting { .. }) if Instant::now() < deadline => {
+                    sleep(START_POLL_INTERVAL).await;
                 }
                 admitted => return admitted,
             }
@@ -170,7 +170,7 @@
             come_back_after_ms,
             text: text.to_owned(),
         };
-        // The connection ends here whether or not the caller reads why.
+        // The connection ends whether or not the caller receives the reason.
         let _ = self.socket.send(&CallerAnswer::Turned(error)).await;
         self.socket.close().await;
     }
@@ -190,14 +190,14 @@
         }
     }
 
-    async fn converse(&mut self, admitted: &AdmittedSession) {
+    async fn serve_session(&mut self, admitted: &AdmittedSession) {
         let mut session = CallerSession::default();
         if self.socket.send(&CallerAnswer::Opened).await.is_err() {
             return;
         }
         let end = self.serve_statements(admitted, &mut session).await;
-        // A transaction whose caller has gone would hold a connection until it is found idle.
-        if let Some(draft) = session.take_left_open(true) {
+        // The open transaction of a caller that has gone would hold its connection until the idle limit.
+        if let Some(draft) = session.take_abandoned(true) {
             self.execute(admitted, &draft).await;
         }
         match end {
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Serves statements until the session ends; `None` if it was ended in order.
+    /// Serves statements until the session ends; `None` if it ended normally.
     async fn serve_statements(
         &mut self,
         admitted: &AdmittedSession,
@@ -225,17 +225,17 @@
                     return Some(SocketEnd::Fault(ProtocolFault::Malformed));
                 }
             };
-            if !admitted.is_taken() {
-                return self.end_untaken(admitted, session).await;
+            if !admitted.is_still_admitted() {
+                return self.end_unauthorized(admitted, session).await;
             }
-            let answer = match session.take(id, statement) {
+            let answer = match session.handle(id, statement) {
                 SessionStep::Answer(answer) => answer,
                 SessionStep::Run(draft) => {
                     let reply = self.execute(admitted, &draft).await;
-                    let clean_up = draft.to_clean_up(&reply.verdict);
+                    let cleanup = draft.cleanup_draft(&reply.verdict);
                     self.waited = Duration::ZERO;
                     let answer = session.finish(&draft, reply);
-                    if let Some(draft) = clean_up {
+                    if let Some(draft) = cleanup {
                         self.execute(admitted, &draft).await;
                     }
                     answer
@@ -247,17 +247,17 @@
         }
     }
 
-    /// Ends a session whose caller has lost its key, at a statement that came all the same.
+    /// Ends a session whose caller's key is no longer valid, in response to a statement.
     ///
-    /// An open transaction is rolled back before its caller is told that nothing of it is kept.
-    async fn end_untaken(
+    /// An open transaction is rolled back before the caller is told that it was aborted.
+    async fn end_unauthorized(
         &mut self,
         admitted: &AdmittedSession,
         session: &mut CallerSession,
     ) -> Option<SocketEnd> {
         let state = session.state();
         let open = state != SessionState::Idle;
-        if let Some(draft) = session.take_left_open(true) {
+        if let Some(draft) = session.take_abandoned(true) {
             self.execute(admitted, &draft).await;
         }
         let sort = match open {
@@ -277,7 +277,7 @@
         self.socket.send(&answer).await.err()
     }
 
-    /// Waits for the next message; `None` if the session is to end between two statements.
+    /// Waits for the next message; `None` if the session must end before another statement.
     async fn next_message(
         &mut self,
         admitted: &AdmittedSession,
@@ -285,27 +285,27 @@
     ) -> Result<Option<CallerMessage>, SocketEnd> {
         let idle = state == SessionState::Idle;
         loop {
-            // What has arrived already was asked before the session was told to end.
+            // A message that has arrived already precedes the signal to end, so it is served first.
             if let Some(message) = self.socket.take_buffered()? {
                 return Ok(Some(message));
             }
-            let order = self.order.borrow_and_update().drain;
-            if order == DrainOrder::EndAll || (order == DrainOrder::EndIdle && idle) {
+            let stage = self.signals.borrow_and_update().drain;
+            if stage == DrainStage::EndAll || (stage == DrainStage::EndIdle && idle) {
                 return Ok(None);
             }
-            if idle && !admitted.is_taken() {
+            if idle && !admitted.is_still_admitted() {
                 log_event!(
                     Level::Info,
                     "session_ended",
                     customer = admitted.database,
-                    account = admitted.account_word(),
+                    account = admitted.account_label(),
                     cause = "key taken away",
                 );
                 return Ok(None);
             }
             tokio::select! {
                 message = self.socket.read() => return message.map(Some),
-                changed = self.order.changed() => {
+                changed = self.signals.changed() => {
                     if changed.is_err() {
                         return Ok(None);
                     }
@@ -323,11 +323,11 @@
                 served_by: None,
             };
         };
-        let request = self.describe(id, admitted, group, draft);
+        let request = self.make_request(id, admitted, group, draft);
         self.service.run(request).await
     }
 
-    fn describe(
+    fn make_request(
         &self,
         id: StatementId,
         admitted: &AdmittedSession,
@@ -355,7 +355,7 @@
     }
 }
 
-/// A caller's socket with what was read from it.
+/// A caller's socket with its read and write buffers.
 pub(super) struct SessionSocket {
     stream: TcpStream,
     protocol: Arc<dyn CallerProtocol>,
@@ -379,13 +379,13 @@
         }
     }
 
-    /// Takes a message that has arrived as a whole.
+    /// Decodes the next message if all of it has been received.
     fn take_buffered(&mut self) -> Result<Option<CallerMessage>, SocketEnd> {
         let message = self.protocol.decode(&mut self.received);
         message.map_err(SocketEnd::Fault)
     }
 
-    /// Reads the next message. It may be given up between two bytes and called again.
+    /// Reads the next message. Cancel safe: received bytes stay buffered.
     async fn read(&mut self) -> Result<CallerMessage, SocketEnd> {
         loop {
             if let Some(message) = self.take_buffered()? {
@@ -395,7 +395,7 @@
                 self.fill().await?;
                 continue;
             }
-            // A message that has begun must end: its sender holds a connection and memory.
+            // The rest of a message has a time limit, as an incomplete one occupies a connection and memory.
             let limit = self.limits.statement;
             let filled = timeout(limit, self.fill()).await;
             filled.map_err(|_| SocketEnd::Slow)??;
@@ -422,13 +422,13 @@
     }
 
     async fn close(&mut self) {
-        // The caller may have closed it first.
+        // An error means that the caller has closed the connection first.
         let _ = self.stream.shutdown().await;
     }
 }
 
-/// A session that the service has admitted; dropping it tells the service that it has ended, even
-/// when the task fails.
+/// A session that the service has admitted. Dropping it reports its end to the service, even if the
+/// task panics.
 struct AdmittedSession {
     service: Arc<dyn SessionService>,
     database: CustomerName,
@@ -436,12 +436,12 @@
 }
 
 impl AdmittedSession {
-    /// Says whether its caller would still be admitted.
-    fn is_taken(&self) -> bool {
+    /// Returns whether the caller would still be admitted.
+    fn is_still_admitted(&self) -> bool {
         self.service.takes(&self.database, &self.caller)
     }
 
-    fn account_word(&self) -> &str {
+    fn account_label(&self) -> &str {
         self.caller
             .account
             .as_ref()
--- a/crates/daemon/src/sessions/state.rs
+++ b/crates/daemon/src/sessions/state.rs
@@ -1,4 +1,9 @@
-//! One session's state, and what each of its statements becomes. No I/O.
+//! The state of one session, and how each of its statements is executed. No I/O.
+//!
+//! BEGIN is deferred: the gateway answers it, and the transaction is opened together with its first
+//! statement, so that an idle transaction holds no connection. After a failure the session accepts
+//! only the end of the transaction. Reads carry the position of the session's last write, so that a
+//! replica without it doesn't answer (read-your-writes).
 
 use crate::edges::CallerAnswer;
 use crate::edges::CallerError;
@@ -26,82 +31,83 @@
 use ragwort_types::TransactionStep;
 use std::collections::HashMap;
 
-/// The most values that a session may set, and the most statements that it may prepare. Each travels
-/// with statements or rests on connections.
-const MOST_NAMES: usize = 1_024;
+/// The most values that a session may set, and the most statements that it may prepare. Values are
+/// sent along with every statement.
+const MAX_NAMES: usize = 1_024;
 
-/// What a statement becomes.
+/// How a statement is executed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SessionStep {
-    /// The gateway answers it itself.
+    /// The gateway answers it directly.
     Answer(CallerAnswer),
-    /// It goes to the group's leaseholder.
+    /// It is sent to the group's leaseholder.
     Run(StatementDraft),
 }
 
-/// A statement on its way out of its session.
+/// A statement to be sent to the group's leaseholder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StatementDraft {
-    /// How it belongs to a transaction.
+    /// Its step within a transaction.
     pub step: TransactionStep,
     /// Its kind in the contract.
     pub kind: &'static str,
-    /// Its text, or its arguments.
+    /// Its text, or the arguments of a prepared statement.
     pub text: String,
-    /// What it carries of the session.
+    /// The part of the session's state that is sent with it.
     pub context: SessionContext,
-    /// Whether its end is shown as the failure of a commit.
-    ends_failed: bool,
+    /// Whether it is the rollback that answers the COMMIT of a failed transaction, so that the caller
+    /// is sent an error even if it succeeds.
+    answers_failed_commit: bool,
 }
 
-/// Where a session's transaction stands.
+/// The progress of a session's transaction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum TransactionCourse {
-    /// None is open.
+enum TransactionProgress {
+    /// No transaction is open.
     #[default]
     None,
-    /// It was begun and runs nowhere yet: the first statement says where.
-    Begun(TransactionMode),
-    /// It holds a connection.
+    /// BEGIN was answered, but no connection is held yet; the first statement opens the transaction.
+    Deferred(TransactionMode),
+    /// The transaction holds a connection.
     Open(TransactionId),
-    /// It has failed; it may still hold a connection.
+    /// The transaction has failed; the id is kept while it may still hold a connection.
     Failed(Option<TransactionId>),
 }
 
-/// A session.
+/// The state of a session.
 #[derive(Debug, Default)]
 pub struct CallerSession {
     values: SessionValues,
     prepared: HashMap<String, PreparedShape>,
-    course: TransactionCourse,
+    progress: TransactionProgress,
     last_write: Option<LogPosition>,
 }
 
 impl CallerSession {
-    /// Returns the state that the caller is shown.
+    /// Returns the transaction state that is reported to the caller.
     pub fn state(&self) -> SessionState {
-        match self.course {
-            TransactionCourse::None => SessionState::Idle,
-            TransactionCourse::Begun(_) | TransactionCourse::Open(_) => SessionState::Open,
-            TransactionCourse::Failed(_) => SessionState::Failed,
+        match self.progress {
+            TransactionProgress::None => SessionState::Idle,
+            TransactionProgress::Deferred(_) | TransactionProgress::Open(_) => SessionState::Open,
+            TransactionProgress::Failed(_) => SessionState::Failed,
         }
     }
 
-    /// Takes a statement under the caller's id of it.
-    pub fn take(&mut self, id: String, statement: CallerStatement) -> SessionStep {
-        if let TransactionCourse::Failed(held) = self.course {
-            return self.take_in_failed(id, &statement, held);
+    /// Decides how a statement is executed; `id` is the caller's id of it.
+    pub fn handle(&mut self, id: String, statement: CallerStatement) -> SessionStep {
+        if let TransactionProgress::Failed(held) = self.progress {
+            return self.handle_in_failed(id, &statement, held);
         }
         match statement {
-            CallerStatement::Begin(mode) if self.course == TransactionCourse::None => {
-                self.course = TransactionCourse::Begun(mode);
+            CallerStatement::Begin(mode) if self.progress == TransactionProgress::None => {
+                self.progress = TransactionProgress::Deferred(mode);
                 self.complete()
             }
             CallerStatement::Begin(_) | CallerStatement::Unknown => {
                 self.fail(CallerErrorSort::Malformed, "statement is not taken here")
             }
-            CallerStatement::Commit => self.take_commit(id),
-            CallerStatement::Rollback => self.take_rollback(id),
+            CallerStatement::Commit => self.handle_commit(id),
+            CallerStatement::Rollback => self.handle_rollback(id),
             CallerStatement::Run { access, text } => {
                 self.draft(id, StatementAct::Text(access), text)
             }
@@ -115,14 +121,14 @@
                 }
             }
             CallerStatement::Set { name, value } => {
-                if self.values.len() >= MOST_NAMES && !self.values.contains_key(&name) {
+                if self.values.len() >= MAX_NAMES && !self.values.contains_key(&name) {
                     return self.fail(CallerErrorSort::Busy, "session has too many values");
                 }
                 self.values.insert(name, value);
                 self.complete()
             }
             CallerStatement::Prepare { name, shape } => {
-                if self.prepared.len() >= MOST_NAMES && !self.prepared.contains_key(&name) {
+                if self.prepared.len() >= MAX_NAMES && !self.prepared.contains_key(&name) {
                     return self.fail(CallerErrorSort::Busy, "session has too many statements");
                 }
                 self.prepared.insert(name, shape);
@@ -135,14 +141,14 @@
         }
     }
 
-    /// Takes a statement's verdict, and returns what the caller is answered.
+    /// Updates the session by a statement's verdict, and returns the answer to the caller.
     pub fn finish(&mut self, draft: &StatementDraft, reply: StatementReply) -> CallerAnswer {
         let position = reply.served_by.map(|served| served.position);
         match reply.verdict {
             RequestVerdict::Ran(StatementAnswer::Tagged(rows)) => {
-                self.follow_success(draft, position);
-                if draft.ends_failed {
-                    return self.answer_failed(nothing_committed());
+                self.apply_success(draft, position);
+                if draft.answers_failed_commit {
+                    return self.answer_failed(rolled_back_error());
                 }
                 CallerAnswer::Complete {
                     rows: rows.rows,
@@ -152,11 +158,11 @@
                 }
             }
             RequestVerdict::Ran(StatementAnswer::Faulted(fault)) => {
-                self.follow_failure(draft, TransactionHold::Kept);
+                self.apply_failure(draft, ConnectionHold::Kept);
                 self.answer_failed(error_of_fault(&fault))
             }
             RequestVerdict::Ran(_) => {
-                self.follow_failure(draft, TransactionHold::Kept);
+                self.apply_failure(draft, ConnectionHold::Kept);
                 self.answer_failed(CallerError {
                     sort: CallerErrorSort::InDoubt,
                     come_back_after_ms: 0,
@@ -166,17 +172,17 @@
             RequestVerdict::NotRun(refusal) => {
                 let lost = refusal.cause == RefusalCause::TransactionLost;
                 let hold = match lost {
-                    true => TransactionHold::Lost,
-                    false => TransactionHold::Kept,
+                    true => ConnectionHold::Lost,
+                    false => ConnectionHold::Kept,
                 };
-                self.follow_failure(draft, hold);
-                if draft.ends_failed {
-                    return self.answer_failed(nothing_committed());
+                self.apply_failure(draft, hold);
+                if draft.answers_failed_commit {
+                    return self.answer_failed(rolled_back_error());
                 }
                 self.answer_failed(error_of_refusal(refusal))
             }
             RequestVerdict::MayHaveRun(cause) => {
-                self.follow_failure(draft, TransactionHold::Lost);
+                self.apply_failure(draft, ConnectionHold::Lost);
                 self.answer_failed(CallerError {
                     sort: CallerErrorSort::InDoubt,
                     come_back_after_ms: 0,
@@ -186,18 +192,22 @@
         }
     }
 
-    /// Returns the statement that ends a transaction which still holds a connection though its
-    /// caller is past it: after a commit that did not run, or when the caller has gone.
-    pub fn take_left_open(&mut self, gone: bool) -> Option<StatementDraft> {
-        let left = match self.course {
-            TransactionCourse::Open(id) | TransactionCourse::Failed(Some(id)) if gone => id,
+    /// Removes a transaction that still holds a connection from the session and returns its rollback, if
+    /// the caller has `disconnected`.
+    pub fn take_abandoned(&mut self, disconnected: bool) -> Option<StatementDraft> {
+        let left = match self.progress {
+            TransactionProgress::Open(id) | TransactionProgress::Failed(Some(id))
+                if disconnected =>
+            {
+                id
+            }
             _ => return None,
         };
-        self.course = TransactionCourse::None;
+        self.progress = TransactionProgress::None;
         Some(self.draft_rollback("-".to_owned(), left, false))
     }
 
-    fn take_in_failed(
+    fn handle_in_failed(
         &mut self,
         id: String,
         statement: &CallerStatement,
@@ -216,33 +226,33 @@
         if let Some(transaction) = held {
             return SessionStep::Run(self.draft_rollback(id, transaction, commits));
         }
-        self.course = TransactionCourse::None;
+        self.progress = TransactionProgress::None;
         match commits {
-            true => SessionStep::Answer(self.answer_failed(nothing_committed())),
+            true => SessionStep::Answer(self.answer_failed(rolled_back_error())),
             false => self.complete(),
         }
     }
 
-    fn take_commit(&mut self, id: String) -> SessionStep {
-        match self.course {
-            TransactionCourse::None | TransactionCourse::Failed(_) => {
+    fn handle_commit(&mut self, id: String) -> SessionStep {
+        match self.progress {
+            TransactionProgress::None | TransactionProgress::Failed(_) => {
                 self.fail(CallerErrorSort::Malformed, "no transaction is open")
             }
-            TransactionCourse::Begun(_) | TransactionCourse::Open(_) => {
+            TransactionProgress::Deferred(_) | TransactionProgress::Open(_) => {
                 self.draft(id, StatementAct::Commit, String::new())
             }
         }
     }
 
-    fn take_rollback(&mut self, id: String) -> SessionStep {
-        match self.course {
-            TransactionCourse::Open(transaction) => {
+    fn handle_rollback(&mut self, id: String) -> SessionStep {
+        match self.progress {
+            TransactionProgress::Open(transaction) => {
                 SessionStep::Run(self.draft_rollback(id, transaction, false))
             }
-            TransactionCourse::None
-            | TransactionCourse::Begun(_)
-            | TransactionCourse::Failed(_) => {
-                self.course = TransactionCourse::None;
+            TransactionProgress::None
+            | TransactionProgress::Deferred(_)
+            | TransactionProgress::Failed(_) => {
+                self.progress = TransactionProgress::None;
                 self.complete()
             }
         }
@@ -250,15 +260,15 @@
 
     fn draft(&mut self, id: String, act: StatementAct, text: String) -> SessionStep {
         let commits = act == StatementAct::Commit;
-        let (step, opens) = match self.course {
-            TransactionCourse::None | TransactionCourse::Failed(_) => {
+        let (step, opens) = match self.progress {
+            TransactionProgress::None | TransactionProgress::Failed(_) => {
                 (TransactionStep::Single, None)
             }
-            TransactionCourse::Begun(mode) => {
+            TransactionProgress::Deferred(mode) => {
                 (TransactionStep::Begin(TransactionId::fresh()), Some(mode))
             }
-            TransactionCourse::Open(open) if commits => (TransactionStep::Commit(open), None),
-            TransactionCourse::Open(open) => (TransactionStep::Within(open), None),
+            TransactionProgress::Open(open) if commits => (TransactionStep::Commit(open), None),
+            TransactionProgress::Open(open) => (TransactionStep::Within(open), None),
         };
         let kind = match (&act, act.access()) {
             (StatementAct::Commit | StatementAct::Rollback, _) => END_KIND,
@@ -269,8 +279,8 @@
             step,
             kind,
             text,
-            context: self.describe(id, act, opens),
-            ends_failed: false,
+            context: self.make_context(id, act, opens),
+            answers_failed_commit: false,
         })
     }
 
@@ -278,18 +288,18 @@
         &self,
         id: String,
         transaction: TransactionId,
-        ends_failed: bool,
+        answers_failed_commit: bool,
     ) -> StatementDraft {
         StatementDraft {
             step: TransactionStep::Rollback(transaction),
             kind: END_KIND,
             text: String::new(),
-            context: self.describe(id, StatementAct::Rollback, None),
-            ends_failed,
+            context: self.make_context(id, StatementAct::Rollback, None),
+            answers_failed_commit,
         }
     }
 
-    fn describe(
+    fn make_context(
         &self,
         caller_id: String,
         act: StatementAct,
@@ -304,39 +314,39 @@
         }
     }
 
-    fn follow_success(&mut self, draft: &StatementDraft, position: Option<LogPosition>) {
+    fn apply_success(&mut self, draft: &StatementDraft, position: Option<LogPosition>) {
         let commits = draft.context.act == StatementAct::Commit;
         let single_write = draft.step == TransactionStep::Single
             && draft.context.act.access() == AccessMode::Write;
         if commits || single_write {
-            // A later position than the write's own only asks replicas for more.
+            // A later position than the write's own only makes later reads stricter than needed.
             self.last_write = self.last_write.max(position);
         }
         match draft.step {
             TransactionStep::Single | TransactionStep::Within(_) => {}
-            TransactionStep::Begin(_) if commits => self.course = TransactionCourse::None,
-            TransactionStep::Begin(id) => self.course = TransactionCourse::Open(id),
+            TransactionStep::Begin(_) if commits => self.progress = TransactionProgress::None,
+            TransactionStep::Begin(id) => self.progress = TransactionProgress::Open(id),
             TransactionStep::Commit(_) | TransactionStep::Rollback(_) => {
-                self.course = TransactionCourse::None;
+                self.progress = TransactionProgress::None;
             }
         }
     }
 
-    fn follow_failure(&mut self, draft: &StatementDraft, hold: TransactionHold) {
+    fn apply_failure(&mut self, draft: &StatementDraft, hold: ConnectionHold) {
         let held = |id| match hold {
-            TransactionHold::Kept => Some(id),
-            TransactionHold::Lost => None,
+            ConnectionHold::Kept => Some(id),
+            ConnectionHold::Lost => None,
         };
-        self.course = match draft.step {
-            TransactionStep::Single => TransactionCourse::None,
+        self.progress = match draft.step {
+            TransactionStep::Single => TransactionProgress::None,
             TransactionStep::Begin(_) if draft.context.act == StatementAct::Commit => {
-                TransactionCourse::None
+                TransactionProgress::None
             }
             TransactionStep::Begin(id) | TransactionStep::Within(id) => {
-                TransactionCourse::Failed(held(id))
+                TransactionProgress::Failed(held(id))
             }
-            // The caller is past it; what still holds a connection is ended by the gateway.
-            TransactionStep::Commit(_) | TransactionStep::Rollback(_) => TransactionCourse::None,
+            // The transaction is over for the caller; the gateway rolls back one that is still open.
+            TransactionStep::Commit(_) | TransactionStep::Rollback(_) => TransactionProgress::None,
         };
     }
 
@@ -349,13 +359,13 @@
         })
     }
 
-    /// Answers with an error of the gateway's own; an open transaction has failed by it.
+    /// Answers with an error of the gateway's own and marks an open transaction as failed.
     fn fail(&mut self, sort: CallerErrorSort, text: &str) -> SessionStep {
-        self.course = match self.course {
-            TransactionCourse::None => TransactionCourse::None,
-            TransactionCourse::Begun(_) => TransactionCourse::Failed(None),
-            TransactionCourse::Open(id) => TransactionCourse::Failed(Some(id)),
-            TransactionCourse::Failed(held) => TransactionCourse::Failed(held),
+        self.progress = match self.progress {
+            TransactionProgress::None => TransactionProgress::None,
+            TransactionProgress::Deferred(_) => TransactionProgress::Failed(None),
+            TransactionProgress::Open(id) => TransactionProgress::Failed(Some(id)),
+            TransactionProgress::Failed(held) => TransactionProgress::Failed(held),
         };
         SessionStep::Answer(self.answer_failed(CallerError {
             sort,
@@ -372,17 +382,17 @@
     }
 }
 
-/// Whether a failed transaction may still hold a connection.
+/// Whether a failed transaction may still hold its connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum TransactionHold {
+enum ConnectionHold {
     Kept,
     Lost,
 }
 
 impl StatementDraft {
-    /// Returns the statement that rolls back what this one may have left open: a commit or rollback
-    /// that did not run leaves its transaction as it was.
-    pub fn to_clean_up(&self, verdict: &RequestVerdict) -> Option<StatementDraft> {
+    /// Returns the rollback of the transaction that this statement may have left open: a commit or
+    /// rollback that was not run leaves its transaction open.
+    pub fn cleanup_draft(&self, verdict: &RequestVerdict) -> Option<StatementDraft> {
         let RequestVerdict::NotRun(refusal) = verdict else {
             return None;
         };
@@ -403,7 +413,7 @@
     }
 }
 
-fn nothing_committed() -> CallerError {
+fn rolled_back_error() -> CallerError {
     CallerError {
         sort: CallerErrorSort::Aborted,
         come_back_after_ms: 0,
--- a/crates/daemon/tests/callers/fake.rs
+++ b/crates/daemon/tests/callers/fake.rs
@@ -1,4 +1,4 @@
-//! A statement service that answers as a test tells it, and a gateway edge in front of it.
+//! A fake statement service with scripted verdicts, and a caller edge in front of it.
 
 use async_trait::async_trait;
 use ragwort_types::DatabaseError;
@@ -36,9 +36,10 @@
 use tokio_postgres::Config;
 use tokio_postgres::NoTls;
 
-/// Statements with this word run until they are cancelled or released.
+/// Statements that contain this word run until they are cancelled or released.
 pub const HELD: &str = "held";
 
+/// The calls that the fake service has received.
 #[derive(Default)]
 pub struct Seen {
     pub requests: Vec<StatementRequest>,
@@ -177,7 +178,7 @@
     }
 }
 
-/// An edge on loopback with the fake behind it.
+/// A caller edge on the loopback interface, served by the fake service.
 pub struct Bench {
     pub service: Arc<FakeService>,
     pub address: SocketAddr,
@@ -219,7 +220,7 @@
         client
     }
 
-    /// Connects without a driver and gets through the start-up.
+    /// Connects without a driver and completes the start-up.
     pub async fn connect_raw(&self) -> TcpStream {
         let mut stream = TcpStream::connect(self.address).await.unwrap();
         let mut body = 196_608_i32.to_be_bytes().to_vec();
@@ -237,7 +238,7 @@
         stream
     }
 
-    /// Drains the edge and waits until it has joined all that it started.
+    /// Drains the edge and waits until it has joined all of its tasks.
     pub async fn finish(self) {
         self.drain.send_replace(true);
         self.edge.await.unwrap();
@@ -248,7 +249,7 @@
     }
 }
 
-/// Returns a whole message of the protocol.
+/// Returns a complete message of the protocol.
 pub fn message(kind: u8, body: &[u8]) -> Vec<u8> {
     let mut bytes = vec![kind];
     bytes.extend(i32::try_from(body.len() + 4).unwrap().to_be_bytes());
@@ -256,7 +257,7 @@
     bytes
 }
 
-/// Reads to the end of the connection, as text with unreadable bytes replaced.
+/// Reads to the end of the connection and decodes it as lossy UTF-8.
 pub async fn read_to_end(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     stream.read_to_end(&mut bytes).await.unwrap();
--- a/crates/daemon/tests/callers/faults.rs
+++ b/crates/daemon/tests/callers/faults.rs
@@ -1,4 +1,4 @@
-//! Callers that misbehave, cancel requests at odd times, and the drain.
+//! Misbehaving callers, cancel requests, connection limits, and the drain.
 
 use crate::fake::Bench;
 use crate::fake::limits;
@@ -17,7 +17,7 @@
     }
 }
 
-/// A caller cancels the statement that it waits for.
+/// A caller cancels its running statement.
 #[tokio::test]
 async fn cancel_reaches_the_running_statement() {
     let bench = Bench::start(limits()).await;
@@ -33,16 +33,15 @@
     assert_eq!(error.code().unwrap().code(), "57014");
 }
 
-/// A cancel request crosses the answer of the statement that it was meant for. If it were kept, the
-/// session's next statement would be cancelled, and a caller would lose a request that nobody
-/// wanted to stop.
+/// A cancel request crosses the answer of the statement that it was meant for. If it were kept, it
+/// would cancel the session's next statement.
 #[tokio::test]
 async fn late_cancel_does_not_hit_the_next_statement() {
     let bench = Bench::start(limits()).await;
     let client = bench.connect().await;
     client.simple_query("select 1").await.unwrap();
     client.cancel_token().cancel_query(NoTls).await.unwrap();
-    // A cancel on a connection of its own passes the same edge in order, so the one above is done.
+    // Cancel requests pass the edge in order, so the one above has been handled once this one has.
     let other = bench.connect().await;
     let token = other.cancel_token();
     let running = tokio::spawn(async move { other.simple_query("select held 1").await });
@@ -63,7 +62,7 @@
     assert_eq!(bench.service.seen.borrow().cancelled.len(), 1);
 }
 
-/// Somebody guesses at another session's key.
+/// A cancel request has the process id of another session and a guessed secret.
 #[tokio::test]
 async fn cancel_with_a_wrong_key_does_nothing() {
     let bench = Bench::start(limits()).await;
@@ -85,7 +84,8 @@
     assert!(bench.service.seen.borrow().cancelled.is_empty());
 }
 
-/// A caller's program ends while its statement waits. Its place in the queue is given up.
+/// A caller disconnects while its statement waits, which cancels the statement and frees its place in
+/// the queue.
 #[tokio::test]
 async fn caller_that_leaves_cancels_its_statement() {
     let bench = Bench::start(limits()).await;
@@ -101,8 +101,8 @@
     assert_eq!(bench.service.seen.borrow().cancelled.len(), 1);
 }
 
-/// Names bytes that end the connection that sent them, the SQLSTATE that the sender reads, and
-/// that another caller is served meanwhile.
+/// Each case sends invalid bytes, and expects an error with the SQLSTATE, the end of the connection,
+/// and that another caller is still served.
 macro_rules! bad_bytes {
     ($($name:ident: $limits:expr, $bytes:expr => $sqlstate:expr;)*) => {$(
         #[tokio::test]
@@ -134,9 +134,9 @@
     slow_sender: quick(), message(b'Q', b"select 1\0")[..6].to_vec() => "08P01";
 }
 
-/// A caller opens a connection and says nothing, as a scanner does.
+/// A caller opens a connection and sends nothing, as a port scanner does.
 #[tokio::test]
-async fn silent_start_is_ended() {
+async fn silent_start_up_times_out() {
     let silent = CallerLimits {
         startup: Duration::from_millis(50),
         ..limits()
@@ -146,7 +146,8 @@
     assert_eq!(read_to_end(&mut stream).await, "");
 }
 
-/// A caller asks for more than it reads. Its answer would fill the gateway's memory for good.
+/// A caller doesn't read its answer. Without a time limit the answer would occupy the gateway's memory
+/// for good.
 #[tokio::test]
 async fn slow_receiver_loses_its_connection() {
     let bench = Bench::start(quick()).await;
@@ -161,7 +162,7 @@
 }
 
 #[tokio::test]
-async fn connections_over_the_limit_are_told_so() {
+async fn connections_over_the_limit_get_an_error() {
     let one = CallerLimits {
         connections: 1,
         ..limits()
@@ -173,8 +174,8 @@
     client.simple_query("select 1").await.unwrap();
 }
 
-/// The gateway is shut down while one caller waits for an answer, one is in a transaction and one
-/// is idle. The first two get what they wait for, the third is told to go elsewhere.
+/// The gateway is shut down while one caller waits for an answer, one has an open transaction and one
+/// is idle. The first receives its answer, the second can commit, and the third is disconnected.
 #[tokio::test]
 async fn drain_cuts_nothing_in_flight() {
     let bench = Bench::start(limits()).await;
@@ -200,20 +201,21 @@
     bench.finish().await;
 }
 
-/// A statement that was under way as its idle session was closed came back as a closed connection.
+/// A statement sent just as the drain closes its idle session is answered. If the session were closed
+/// at once, the driver would report a closed connection and the outcome would be unknown.
 #[tokio::test]
 async fn statement_that_crosses_the_drain_is_answered() {
     let bench = Bench::start(limits()).await;
     let clients = [bench.connect().await, bench.connect().await];
     bench.drain.send_replace(true);
-    // The sessions have seen the drain once this has passed through the same task.
+    // The edge has handled the drain once this connection has been served.
     let mut stream = bench.connect_raw().await;
     stream.write_all(&message(b'X', &[])).await.unwrap();
     read_to_end(&mut stream).await;
     for client in &clients {
         client.simple_query("select 1").await.unwrap();
     }
-    // Each session ends behind the answer, long before the drain's limit.
+    // Each session ends after its answer, long before the drain's time limit.
     bench.service.wait_seen(|seen| seen.closed.len() == 3).await;
     for client in &clients {
         assert!(client.simple_query("select 2").await.is_err());
@@ -221,20 +223,21 @@
     bench.finish().await;
 }
 
-/// An idle caller sees why its connection ends, so that its pool opens another elsewhere.
+/// An idle caller is sent the reason before its connection is closed, so that its pool reconnects to
+/// another gateway.
 #[tokio::test]
-async fn drained_session_is_told_the_reason() {
+async fn drained_session_is_sent_the_reason() {
     let bench = Bench::start(limits()).await;
     let mut stream = bench.connect_raw().await;
     bench.drain.send_replace(true);
-    let farewell = read_to_end(&mut stream).await;
-    assert!(farewell.contains("\0C57P01\0"), "{farewell:?}");
+    let last_message = read_to_end(&mut stream).await;
+    assert!(last_message.contains("\0C57P01\0"), "{last_message:?}");
     drop(stream);
     bench.finish().await;
 }
 
-/// A caller leaves its transaction open while the gateway is shut down. It can't hold the shutdown
-/// up for good: after the limit the transaction is rolled back.
+/// A caller leaves its transaction open while the gateway is shut down. At the drain's time limit the
+/// transaction is rolled back, so that it can't block the shutdown for good.
 #[tokio::test]
 async fn open_transaction_ends_with_the_drain_limit() {
     let short = CallerLimits {
--- a/crates/daemon/tests/callers/main.rs
+++ b/crates/daemon/tests/callers/main.rs
@@ -1,4 +1,4 @@
-//! The caller edge, seen by a PostgreSQL driver.
+//! Tests of the caller edge through a PostgreSQL driver and raw connections.
 
 mod fake;
 mod faults;
--- a/crates/daemon/tests/callers/sessions.rs
+++ b/crates/daemon/tests/callers/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions, queries and transactions that go well.
+//! Sessions, queries, prepared statements and transactions through the driver.
 
 use crate::fake::Bench;
 use crate::fake::done;
@@ -34,7 +34,7 @@
 }
 
 #[tokio::test]
-async fn text_goes_on_unchanged() {
+async fn text_is_forwarded_unchanged() {
     let bench = Bench::start(limits()).await;
     let client = bench.connect().await;
     let text = " /* note */ select\t'é; $1 /*'  -- end\n ;";
@@ -83,7 +83,7 @@
         text("\\x01ff"),
     ];
     assert_eq!(parameters, Some(expected));
-    // The answer described itself.
+    // The answer supplied its description, so the service was not asked for one.
     assert!(bench.service.seen.borrow().described.is_empty());
 }
 
@@ -105,18 +105,18 @@
 }
 
 #[tokio::test]
-async fn statement_that_nobody_can_describe_was_not_run() {
+async fn statement_that_cannot_be_described_is_not_run() {
     let bench = Bench::start(limits()).await;
     let client = bench.connect().await;
     let error = client.prepare("select 1").await.unwrap_err();
     assert_eq!(error.code().unwrap().code(), "0A000");
     assert!(bench.service.texts().is_empty());
-    // The session goes on.
+    // The session continues.
     client.simple_query("select 2").await.unwrap();
 }
 
-/// The columns of a prepared statement's answer changed after it was described, as when a table
-/// was altered. The caller would read values under the wrong names.
+/// The columns of a prepared statement changed after it was described, for example because a table
+/// was altered. Passed on, the answer's values would be read under the wrong names.
 #[tokio::test]
 async fn answer_with_other_columns_is_not_passed_on() {
     let bench = Bench::start(limits()).await;
@@ -146,7 +146,7 @@
 }
 
 #[tokio::test]
-async fn notice_says_who_served_when_asked_for() {
+async fn notice_names_the_serving_instance_on_request() {
     let bench = Bench::start(limits()).await;
     let mut config = bench.config();
     config.options("-c ragwort.notice=on");
@@ -183,7 +183,7 @@
 }
 
 #[tokio::test]
-async fn transaction_keeps_one_name_from_begin_to_commit() {
+async fn transaction_keeps_one_id_from_begin_to_commit() {
     let bench = Bench::start(limits()).await;
     let mut client = bench.connect().await;
     let transaction = client.transaction().await.unwrap();
@@ -211,7 +211,7 @@
 }
 
 #[tokio::test]
-async fn failed_transaction_takes_only_its_end() {
+async fn failed_transaction_accepts_only_its_end() {
     let bench = Bench::start(limits()).await;
     let client = bench.connect().await;
     client.batch_execute("begin").await.unwrap();
@@ -229,9 +229,8 @@
     assert_eq!(steps_of(&bench), ["begin", "within", "rollback", "single"]);
 }
 
-/// The leaseholder was lost in the middle of a transaction, and its successor knows nothing of it.
-/// If the session went on as if nothing had happened, the rest of the transaction would commit
-/// without its first half.
+/// The leaseholder is lost in the middle of a transaction, and its successor doesn't have the
+/// transaction. If the session continued, the rest would commit without the first half.
 #[tokio::test]
 async fn lost_transaction_is_over_for_the_session() {
     let bench = Bench::start(limits()).await;
@@ -263,8 +262,8 @@
     assert!(bench.service.texts().is_empty());
 }
 
-/// A caller's program ends in the middle of its transaction. Without a rollback the transaction
-/// would pin one of the endpoint's few connections until its deadline.
+/// A caller disconnects in the middle of a transaction. Without a rollback the transaction would pin
+/// one of the endpoint's few connections until its deadline.
 #[tokio::test]
 async fn caller_that_leaves_has_its_transaction_rolled_back() {
     let bench = Bench::start(limits()).await;
@@ -275,8 +274,8 @@
     assert_eq!(steps_of(&bench), ["begin", "rollback"]);
 }
 
-/// A statement that leaves something behind on a shared connection would show it to the next
-/// customer there.
+/// Each case is a statement that changes the state of a shared connection, which the next customer on
+/// it would see. It must be refused.
 macro_rules! unsupported {
     ($($name:ident: $text:expr;)*) => {$(
         #[tokio::test]
--- a/crates/daemon/tests/callers/verdicts.rs
+++ b/crates/daemon/tests/callers/verdicts.rs
@@ -1,4 +1,4 @@
-//! What a caller is told of each verdict.
+//! The error that a caller receives for each verdict and each refused session.
 
 use crate::fake::Bench;
 use crate::fake::limits;
@@ -8,7 +8,7 @@
 use ragwortgated::callers::SessionRefusal;
 use tokio_postgres::NoTls;
 
-/// Names a refusal, its SQLSTATE, and the hint for coming back after 40 ms.
+/// Each case is a refusal and its SQLSTATE; the hint must name the time to wait, if there is one.
 macro_rules! refusal {
     ($($name:ident: $cause:ident => $sqlstate:expr;)*) => {$(
         #[tokio::test]
@@ -46,10 +46,10 @@
     transaction_lost: TransactionLost => "40000";
 }
 
-/// The endpoint was lost after a grant had been sent to it. A caller that took this for a refusal
-/// would send the grant again, and it would stand twice.
+/// The endpoint is lost after a write was sent to it. A caller that took this for a refusal would send
+/// the write again, and it could be applied twice.
 #[tokio::test]
-async fn doubt_is_told_as_doubt() {
+async fn unknown_outcome_is_reported_as_such() {
     let bench = Bench::start(limits()).await;
     let client = bench.connect().await;
     let doubt = RequestVerdict::MayHaveRun(DoubtCause::EndpointLost);
@@ -64,8 +64,8 @@
     assert_eq!(error.hint(), None);
 }
 
-/// The leaseholder was lost while it committed. The driver sends no rollback after a failed commit,
-/// so the session must be usable again at once.
+/// The leaseholder is lost during a commit. The driver sends no rollback after a failed commit, so the
+/// session must accept further statements at once.
 #[tokio::test]
 async fn commit_in_doubt_ends_the_transaction() {
     let bench = Bench::start(limits()).await;
@@ -78,8 +78,8 @@
     client.simple_query("select 1").await.unwrap();
 }
 
-/// The service answered with another statement's answer, as after a mix-up on a connection. The
-/// caller must never see a stranger's rows.
+/// The service returns the answer of another statement, as after a mix-up on a connection. The caller
+/// must never receive another caller's rows.
 #[tokio::test]
 async fn answer_of_another_statement_is_not_passed_on() {
     let bench = Bench::start(limits()).await;
@@ -92,7 +92,7 @@
 }
 
 #[tokio::test]
-async fn malformed_marks_are_told_and_nothing_runs() {
+async fn malformed_marks_are_reported_and_nothing_runs() {
     let bench = Bench::start(limits()).await;
     let client = bench.connect().await;
     let error = client
@@ -105,7 +105,7 @@
     assert!(bench.service.texts().is_empty());
 }
 
-/// Names a refused session and its SQLSTATE.
+/// Each case is a reason to refuse a session and its SQLSTATE.
 macro_rules! refused_session {
     ($($name:ident: $refusal:expr => $sqlstate:expr;)*) => {$(
         #[tokio::test]
--- a/crates/daemon/tests/marks.rs
+++ b/crates/daemon/tests/marks.rs
@@ -1,4 +1,4 @@
-//! Request marks and the scan of a statement's text.
+//! Tests of request marks, of the scan of a statement's text, and of its class.
 
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
@@ -27,7 +27,7 @@
     assert_eq!(marks.max_age_ms, Some(0));
 }
 
-/// Names a text without marks.
+/// Each case is a text without marks.
 macro_rules! no_marks {
     ($($name:ident: $text:expr;)*) => {$(
         #[test]
@@ -48,7 +48,7 @@
     ordinary_inner_comment: "select /* the = sign */ 1";
 }
 
-/// Names a text and a mark that it has.
+/// Each case is a text and one of its marks.
 macro_rules! has_marks {
     ($($name:ident: $text:expr => $field:ident = $value:expr;)*) => {$(
         #[test]
@@ -68,7 +68,7 @@
     escaped_quote: r"/*kind='o\'x'*/ select 1" => kind = "o'x";
 }
 
-/// Names a text with marks that can't be taken, and words of the fault.
+/// Each case is a text with invalid marks, and a part of the error message.
 macro_rules! bad_marks {
     ($($name:ident: $text:expr => $words:expr;)*) => {$(
         #[test]
@@ -98,7 +98,7 @@
     mark_within_the_statement: "select /*kind='grant'*/ 1" => "not within";
 }
 
-/// Names a text and its class.
+/// Each case is a text and its class.
 macro_rules! class_of {
     ($($name:ident: $text:expr => $class:ident;)*) => {$(
         #[test]
@@ -142,7 +142,7 @@
     );
 }
 
-/// No text, however broken, makes the scan fail: a caller's bytes can't end the gateway.
+/// The scan doesn't panic on any text: a caller's bytes must not bring down the gateway.
 #[test]
 fn any_text_is_scanned() {
     fn holds(pieces: Vec<usize>) -> bool {
--- a/crates/daemon/tests/sessions.rs
+++ b/crates/daemon/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! What a session's statements become, and what its caller is told.
+//! Tests of the session state: how statements are executed, and what the caller is answered.
 
 use ragwort_types::AccessMode;
 use ragwort_types::DoubtCause;
@@ -45,17 +45,17 @@
     }
 }
 
-/// Takes a statement that must go to the leaseholder.
+/// Handles a statement that must be sent to the leaseholder.
 fn draft(session: &mut CallerSession, statement: CallerStatement) -> StatementDraft {
-    match session.take("a1".to_owned(), statement) {
+    match session.handle("a1".to_owned(), statement) {
         SessionStep::Run(draft) => draft,
         SessionStep::Answer(answer) => panic!("answered at the gateway: {answer:?}"),
     }
 }
 
-/// Takes a statement that the gateway must answer itself.
+/// Handles a statement that the gateway must answer itself.
 fn answer(session: &mut CallerSession, statement: CallerStatement) -> CallerAnswer {
-    match session.take("a1".to_owned(), statement) {
+    match session.handle("a1".to_owned(), statement) {
         SessionStep::Answer(answer) => answer,
         SessionStep::Run(draft) => panic!("sent on: {draft:?}"),
     }
@@ -90,8 +90,8 @@
 }
 
 case! {
-    /// A clerk saves a record and reads it. The read must carry the position of the write, or a
-    /// replica that lacks it could answer.
+    /// A read after a write must carry the write's position. Otherwise a replica that hasn't received
+    /// the write could answer.
     read_carries_the_position_of_the_last_write {
         let mut session = CallerSession::default();
         let saved = draft(&mut session, write("w"));
@@ -102,8 +102,7 @@
 }
 
 case! {
-    /// A write was refused, or its outcome is unknown. No position is known of it; the one before
-    /// must not be forgotten for it.
+    /// A refused write has no position. The position of the write before must be kept.
     failed_write_keeps_the_position_before {
         let mut session = CallerSession::default();
         let saved = draft(&mut session, write("w"));
@@ -116,9 +115,9 @@
 }
 
 case! {
-    /// A transaction is begun and nothing follows for a while. It must not hold one of the few
-    /// connections until its first statement says where it runs.
-    begin_takes_no_connection {
+    /// BEGIN is deferred: a transaction must not hold one of the few connections before its first
+    /// statement.
+    begin_holds_no_connection {
         let mut session = CallerSession::default();
         let begun = answer(&mut session, CallerStatement::Begin(TransactionMode::ReadWrite));
         assert!(matches!(begun, CallerAnswer::Complete { state: SessionState::Open, .. }));
@@ -129,7 +128,7 @@
 }
 
 case! {
-    /// The statements of one transaction go to its one connection, and the commit with them.
+    /// All statements of a transaction, and its commit, carry the same id and so use one connection.
     transaction_keeps_its_id {
         let mut session = CallerSession::default();
         answer(&mut session, CallerStatement::Begin(TransactionMode::ReadWrite));
@@ -149,14 +148,14 @@
 }
 
 case! {
-    /// A statement of a transaction fails. Until its end the session takes nothing else: a
-    /// statement that ran outside of it would be kept although the caller rolls back.
-    failed_transaction_takes_only_its_end {
+    /// After a failure in a transaction the session accepts only the transaction's end. A statement
+    /// run outside of the transaction would be kept although the caller rolls back.
+    failed_transaction_accepts_only_its_end {
         let mut session = CallerSession::default();
         answer(&mut session, CallerStatement::Begin(TransactionMode::ReadWrite));
         let first = draft(&mut session, write("w"));
-        let told = session.finish(&first, refused(RefusalCause::TransactionLost));
-        assert_eq!(error_sort(&told), CallerErrorSort::Aborted);
+        let answered = session.finish(&first, refused(RefusalCause::TransactionLost));
+        assert_eq!(error_sort(&answered), CallerErrorSort::Aborted);
         assert_eq!(session.state(), SessionState::Failed);
         let further = answer(&mut session, write("w"));
         assert_eq!(error_sort(&further), CallerErrorSort::Malformed);
@@ -166,7 +165,7 @@
 }
 
 case! {
-    /// The answer to a commit is lost. The caller must hear that the outcome is unknown, never that
+    /// The answer to a commit is lost. The caller must be told that the outcome is unknown, never that
     /// nothing was kept.
     lost_commit_is_in_doubt {
         let mut session = CallerSession::default();
@@ -180,22 +179,22 @@
 }
 
 case! {
-    /// A caller goes away in the middle of a transaction. Its connection must be freed at once, or
-    /// others wait for it until the transaction's idle time has passed.
+    /// A caller disconnects in the middle of a transaction. Its connection must be freed at once;
+    /// otherwise others would wait for it until the transaction's idle limit.
     transaction_of_a_caller_who_left_is_rolled_back {
         let mut session = CallerSession::default();
         answer(&mut session, CallerStatement::Begin(TransactionMode::ReadWrite));
         let first = draft(&mut session, write("w"));
         session.finish(&first, served(3));
-        let left = session.take_left_open(true).unwrap();
+        let left = session.take_abandoned(true).unwrap();
         assert!(matches!(left.step, TransactionStep::Rollback(_)));
-        assert_eq!(session.take_left_open(true), None);
+        assert_eq!(session.take_abandoned(true), None);
     }
 }
 
 case! {
-    /// Two callers prepare different statements under one name. Each runs its own, since the name
-    /// belongs to the session and the shape travels with the statement.
+    /// Two callers prepare different statements under one name. Each must run its own: the name is
+    /// local to the session, and the shape is sent with the statement.
     prepared_names_belong_to_their_session {
         let mut sessions = [CallerSession::default(), CallerSession::default()];
         for (number, session) in sessions.iter_mut().enumerate() {
@@ -221,8 +220,8 @@
 }
 
 case! {
-    /// A caller sets value after value. What it set travels with each of its statements, so there
-    /// is a bound, and beyond it the caller hears of it.
+    /// A session's values are sent with each of its statements, so their number is bounded. A value
+    /// beyond the bound is refused with an error.
     values_are_bounded {
         let mut session = CallerSession::default();
         for number in 0..1_024 {
