--- a/crates/lab/src/agent_port.rs
+++ b/crates/lab/src/agent_port.rs
@@ -1,4 +1,4 @@
-//! The agent's port: the platform's calls and the lab's own.
+//! The agent's RPC server: the calls that the platform defines, and the test bench's own calls.
 
 use crate::endpoint::EndpointShared;
 use crate::faults::FaultRequest;
@@ -22,10 +22,11 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// The longest that a long poll waits, in milliseconds; bounds what a vanished asker leaves behind.
-const LONGEST_POLL_MS: u64 = 60_000;
+/// The maximum duration of a long poll, in milliseconds. It bounds the time for which the call of a
+/// client that has gone away stays pending.
+const MAX_LONG_POLL_MS: u64 = 60_000;
 
-/// Serves an agent's calls.
+/// The agent of one endpoint.
 #[derive(Clone, Debug)]
 pub struct AgentService {
     shared: Arc<EndpointShared>,
@@ -37,10 +38,10 @@
         Self { shared }
     }
 
-    /// Returns the methods that the port answers.
+    /// Returns the RPC methods of the agent and of the test bench.
     pub fn into_methods(self) -> Methods {
         let mut methods = Methods::new();
-        // The two namespaces share no name, so merging can't fail.
+        // Merging can't fail: the methods have different namespaces.
         let merged = methods
             .merge(AgentApiServer::into_rpc(self.clone()))
             .and_then(|()| methods.merge(LabApiServer::into_rpc(self)));
@@ -48,23 +49,24 @@
         methods
     }
 
+    /// Waits until the status differs from `known`, for `timeout_ms` at most.
     async fn wait_status_change(&self, known: InstanceStatus, timeout_ms: u64) {
         let mut status = self.shared.instance.watch_status();
-        let patience = Duration::from_millis(timeout_ms.min(LONGEST_POLL_MS));
-        // Running out of time is an answer as well: the status is read afterwards in any case.
-        let _ = timeout(patience, status.wait_for(|present| *present != known)).await;
+        let max_wait = Duration::from_millis(timeout_ms.min(MAX_LONG_POLL_MS));
+        // A timeout isn't an error: the caller reads the status afterwards in any case.
+        let _ = timeout(max_wait, status.wait_for(|present| *present != known)).await;
     }
 }
 
 #[async_trait]
 impl AgentApiServer for AgentService {
     async fn identity(&self) -> RpcResult<InstanceIdentity> {
-        self.shared.pass_freeze().await;
+        self.shared.wait_until_thawed().await;
         Ok(self.shared.identity.clone())
     }
 
     async fn status(&self) -> RpcResult<InstanceStatus> {
-        self.shared.pass_freeze().await;
+        self.shared.wait_until_thawed().await;
         Ok(self.shared.instance.status())
     }
 
@@ -74,19 +76,19 @@
         timeout_ms: u64,
     ) -> RpcResult<InstanceStatus> {
         self.wait_status_change(known, timeout_ms).await;
-        self.shared.pass_freeze().await;
+        self.shared.wait_until_thawed().await;
         Ok(self.shared.instance.status())
     }
 
     async fn fence(&self, term: GroupTerm) -> RpcResult<FenceReply> {
-        self.shared.pass_freeze().await;
+        self.shared.wait_until_thawed().await;
         let reply = self.shared.instance.fence(term).await;
         log::info!("event=fence term={term} reply={reply:?}");
         Ok(reply)
     }
 
     async fn promote(&self, term: GroupTerm) -> RpcResult<FenceReply> {
-        self.shared.pass_freeze().await;
+        self.shared.wait_until_thawed().await;
         let lose_tail = self.shared.faults.borrow().lose_tail;
         let reply = self.shared.instance.promote(term, lose_tail).await;
         log::info!("event=promote term={term} reply={reply:?}");
@@ -99,7 +101,7 @@
         start: LogPosition,
         primary_agent: SocketAddr,
     ) -> RpcResult<FenceReply> {
-        self.shared.pass_freeze().await;
+        self.shared.wait_until_thawed().await;
         let target = FollowTarget {
             term,
             primary_agent,
@@ -113,7 +115,7 @@
 #[async_trait]
 impl LabApiServer for AgentService {
     async fn fetch_log(&self, request: FetchRequest) -> RpcResult<FetchReply> {
-        self.shared.pass_freeze().await;
+        self.shared.wait_until_thawed().await;
         let known = self.shared.instance.status();
         let reply = self.shared.instance.fetch(request).await;
         let nothing_yet = matches!(&reply, FetchReply::Entries(entries) if entries.is_empty());
@@ -121,7 +123,7 @@
             return Ok(reply);
         }
         self.wait_status_change(known, request.wait_ms).await;
-        self.shared.pass_freeze().await;
+        self.shared.wait_until_thawed().await;
         Ok(self.shared.instance.fetch(request).await)
     }
 
--- a/crates/lab/src/announcer.rs
+++ b/crates/lab/src/announcer.rs
@@ -1,4 +1,7 @@
-//! Announcements: the endpoint makes itself known, nobody lists it.
+//! Periodic announcements, by which daemons discover the endpoint.
+//!
+//! An announcement goes to all addresses that the last reply asked for. If none of them answers, one of
+//! the configured addresses gets it, each in turn until one answers.
 
 use crate::endpoint::EndpointShared;
 use futures::future::join_all;
@@ -14,43 +17,47 @@
 use tokio::time::MissedTickBehavior;
 use tokio::time::interval;
 
-/// The time between announcements: a tenth of the 2 s after which silence takes the endpoint out of
-/// use, so that several may be lost.
+/// The interval between announcements: a tenth of the 2 s of silence after which the endpoint is no
+/// longer used, so that several announcements in a row may be lost.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long one announcement may take.
+/// The timeout of one announcement.
 const ANNOUNCE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Announces an endpoint.
+/// Sends the announcements of one endpoint.
 #[derive(Debug)]
 pub struct Announcer {
     announcement: EndpointAnnouncement,
-    given: Vec<SocketAddr>,
+    /// The addresses of the endpoint's settings.
+    configured: Vec<SocketAddr>,
+    /// The addresses that the last reply asked to announce to.
     learned: Vec<SocketAddr>,
     clients: HashMap<SocketAddr, HttpClient>,
-    next_given: usize,
+    /// The index of the configured address to try next, modulo their number.
+    next_configured: usize,
 }
 
 impl Announcer {
-    /// Creates an announcer that starts from the given addresses.
-    pub fn new(announcement: EndpointAnnouncement, given: Vec<SocketAddr>) -> Self {
+    /// Creates an announcer that first announces to the `configured` addresses.
+    pub fn new(announcement: EndpointAnnouncement, configured: Vec<SocketAddr>) -> Self {
         Self {
             announcement,
-            given,
+            configured,
             learned: Vec::new(),
             clients: HashMap::new(),
-            next_given: 0,
+            next_configured: 0,
         }
     }
 
-    /// Announces every [`ANNOUNCE_INTERVAL`], and at once when role, term or leaving change.
+    /// Announces every `ANNOUNCE_INTERVAL`, and at once when the role, the fenced term or the
+    /// leaving flag changes. Returns when the instance's task has ended.
     pub async fn run(mut self, shared: Arc<EndpointShared>) {
         let mut ticks = interval(ANNOUNCE_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut status = shared.instance.watch_status();
         loop {
             let known = *status.borrow_and_update();
-            shared.pass_isolation().await;
+            shared.wait_until_calls_allowed().await;
             self.announcement.status = known;
             self.announce().await;
             let changed = status.wait_for(|present| {
@@ -72,17 +79,18 @@
         let replies = join_all(learned.iter().map(|address| self.announce_to(*address))).await;
         let mut answered: Vec<AnnouncementReply> = replies.into_iter().flatten().collect();
         if answered.is_empty() {
-            answered.extend(self.announce_to_given().await);
+            answered.extend(self.announce_to_configured().await);
         }
         self.learned = answered
             .into_iter()
             .map(|reply| reply.announce_to)
             .find(|addresses| !addresses.is_empty())
             .unwrap_or_default();
-        let known =
-            |address: &SocketAddr| self.learned.contains(address) || self.given.contains(address);
+        let known = |address: &SocketAddr| {
+            self.learned.contains(address) || self.configured.contains(address)
+        };
         self.clients.retain(|address, _| known(address));
-        for address in self.learned.iter().chain(&self.given) {
+        for address in self.learned.iter().chain(&self.configured) {
             if !self.clients.contains_key(address)
                 && let Ok(client) = connect(*address)
             {
@@ -91,15 +99,16 @@
         }
     }
 
-    /// Tries the given addresses in turn, from the one that answered last.
-    async fn announce_to_given(&mut self) -> Option<AnnouncementReply> {
-        for _ in 0..self.given.len() {
-            let index = self.next_given % self.given.len();
-            let reply = self.announce_to(self.given[index]).await;
+    /// Announces to the first configured address that answers, starting with the one that answered
+    /// last.
+    async fn announce_to_configured(&mut self) -> Option<AnnouncementReply> {
+        for _ in 0..self.configured.len() {
+            let index = self.next_configured % self.configured.len();
+            let reply = self.announce_to(self.configured[index]).await;
             if reply.is_some() {
                 return reply;
             }
-            self.next_given = index + 1;
+            self.next_configured = index + 1;
         }
         None
     }
--- a/crates/lab/src/caller.rs
+++ b/crates/lab/src/caller.rs
@@ -1,4 +1,4 @@
-//! One caller: a connection to a gateway, its marked statements, and the verdicts it is told.
+//! A client connection to a gateway, which sends marked statements and interprets the answers.
 
 use futures::future::poll_fn;
 use std::fmt;
@@ -17,19 +17,19 @@
 use tokio_postgres::error::DbError;
 use tokio_postgres::tls::NoTlsStream;
 
-/// The SQLSTATE of a request that may have run.
+/// The SQLSTATE with which a gateway reports that a request may have run.
 const MAY_HAVE_RUN_STATE: &str = "08007";
 
-/// The detail with which a gateway says that a request was not run, whatever the SQLSTATE.
+/// The error detail with which a gateway reports that a request was not run, whatever the SQLSTATE.
 const NOT_RUN_DETAIL: &str = "the request was not run";
 
-/// How long opening a connection may take.
-const CONNECT_PATIENCE: Duration = Duration::from_secs(2);
+/// The timeout for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The marks of a statement, as its leading comment.
+/// The marks of a statement, which are sent as a leading comment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StatementMarks {
-    /// The kind.
+    /// The contract's kind of the request.
     pub kind: Option<&'static str>,
     /// The request key.
     pub key: Option<String>,
@@ -37,7 +37,7 @@
     pub deadline_ms: Option<u64>,
     /// Whether the request is urgent.
     pub urgent: bool,
-    /// The age that the read accepts, in milliseconds.
+    /// The maximum age of the data that the read accepts, in milliseconds.
     pub max_age_ms: Option<u64>,
 }
 
@@ -57,32 +57,32 @@
     }
 }
 
-/// Who calls, and where.
+/// The settings of a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallerSettings {
-    /// The gateway, or an endpoint's data port.
+    /// The address of the gateway, or of an endpoint's data port.
     pub gateway: SocketAddr,
-    /// The customer.
+    /// The name of the customer.
     pub customer: String,
-    /// The database group.
+    /// The name of the database group.
     pub group: String,
-    /// The session's name.
+    /// The name of the session.
     pub session: String,
 }
 
-/// Which instance served a request, as the gateway's notice says.
+/// The gateway's notice about the instance that served a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServedNotice {
-    /// The instance.
+    /// The name of the instance.
     pub instance: String,
-    /// Whether it served as a replica.
+    /// Whether the instance was a replica.
     pub replica: bool,
-    /// Its position, as text.
+    /// The instance's log position, as text.
     pub position: String,
 }
 
 impl ServedNotice {
-    /// Parses `served by INSTANCE replica=BOOL position=TERM/INDEX`.
+    /// Parses a notice of the form `served by INSTANCE replica=BOOL position=TERM/INDEX`.
     pub fn parse(message: &str) -> Option<Self> {
         let mut words = message.strip_prefix("served by ")?.split(' ');
         Some(Self {
@@ -93,42 +93,42 @@
     }
 }
 
-/// What a caller was told about one request.
+/// The outcome of a request, as its caller knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerVerdict {
-    /// It ran; these are its rows.
+    /// The request ran.
     Ran {
         /// The rows, each value as text.
         rows: Vec<Vec<Option<String>>>,
-        /// Who served it, if the gateway said so.
+        /// The instance that served it, if the gateway sent a notice.
         served: Option<ServedNotice>,
     },
-    /// It did not run.
+    /// The request did not run.
     NotRun {
-        /// The SQLSTATE, or nothing if no connection could be opened.
+        /// The SQLSTATE; empty if no connection could be opened.
         sqlstate: String,
         /// The message.
         message: String,
-        /// When to come back, in milliseconds, if said.
+        /// The time after which to retry, in milliseconds, if the gateway stated it.
         come_back_after_ms: Option<u64>,
     },
-    /// It may have run.
+    /// The request may have run.
     MayHaveRun {
-        /// Why, in the gateway's words or the connection's.
+        /// The message of the gateway, or the error of the connection.
         message: String,
     },
-    /// The database ran it and reported an error of its own.
+    /// The database reported an error of the statement.
     Failed {
         /// The SQLSTATE.
         sqlstate: String,
         /// The message.
         message: String,
     },
-    /// No answer came while the caller waited.
+    /// There was no answer within the caller's timeout.
     Unanswered,
 }
 
-/// An open connection of a caller.
+/// An open connection to a gateway or an endpoint.
 #[derive(Debug)]
 pub struct GatewayCaller {
     client: Client,
@@ -141,7 +141,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the verdict [`CallerVerdict::NotRun`] for whatever was to be run on it.
+    /// Returns [`CallerVerdict::NotRun`], which is the verdict of the request that the connection was
+    /// opened for.
     pub async fn open(settings: &CallerSettings) -> Result<Self, CallerVerdict> {
         let mut config = Config::new();
         config
@@ -153,7 +154,7 @@
                 "-c ragwort.notice=on -c ragwort.session={}",
                 settings.session
             ));
-        match timeout(CONNECT_PATIENCE, config.connect(NoTls)).await {
+        match timeout(CONNECT_TIMEOUT, config.connect(NoTls)).await {
             Ok(Ok((client, connection))) => {
                 let (sender, notices) = mpsc::unbounded_channel();
                 let connection = tokio::spawn(drive_connection(connection, sender));
@@ -163,7 +164,7 @@
                     connection,
                 })
             }
-            Ok(Err(error)) => Err(unopened(&error)),
+            Ok(Err(error)) => Err(not_run_verdict(&error)),
             Err(_) => Err(CallerVerdict::NotRun {
                 sqlstate: String::new(),
                 message: "connection not opened in time".to_owned(),
@@ -177,22 +178,22 @@
         self.client.is_closed()
     }
 
-    /// Runs a statement and waits for its verdict for as long as `patience`.
+    /// Runs a statement and waits for its verdict, for `max_wait` at most.
     ///
-    /// After [`CallerVerdict::Unanswered`] the connection must not be used again: the answer may
-    /// still come.
-    pub async fn run(&mut self, statement: &str, patience: Duration) -> CallerVerdict {
+    /// After [`CallerVerdict::Unanswered`] the connection must not be used again, as a late answer
+    /// would be taken for that of the next statement.
+    pub async fn run(&mut self, statement: &str, max_wait: Duration) -> CallerVerdict {
         while self.notices.try_recv().is_ok() {}
         let closed_before = self.client.is_closed();
-        let outcome = timeout(patience, self.client.simple_query(statement)).await;
+        let outcome = timeout(max_wait, self.client.simple_query(statement)).await;
         match outcome {
             Ok(Ok(messages)) => CallerVerdict::Ran {
                 rows: collect_rows(&messages),
                 served: self.last_served(),
             },
             Ok(Err(error)) => match error.as_db_error() {
-                Some(error) => read_error(error),
-                None if closed_before => unopened(&error),
+                Some(error) => classify_error(error),
+                None if closed_before => not_run_verdict(&error),
                 None => CallerVerdict::MayHaveRun {
                     message: error.to_string(),
                 },
@@ -216,15 +217,15 @@
     }
 }
 
-/// Passes notices on. They are handed over before the answer that they precede, so that a caller
-/// who has its answer finds its notice in the channel.
+/// Drives the connection and forwards its notices. A notice is sent to the channel before the answer that
+/// it precedes is delivered, so a caller that has its answer finds the notice in the channel.
 async fn drive_connection(
     mut connection: Connection<tokio_postgres::Socket, NoTlsStream>,
     notices: mpsc::UnboundedSender<String>,
 ) {
     while let Some(Ok(message)) = poll_fn(|context| connection.poll_message(context)).await {
         if let AsyncMessage::Notice(notice) = message {
-            // The caller may be gone; the connection still has to be driven to its end.
+            // The connection must be driven to its end even if the caller has been dropped.
             let _ = notices.send(notice.message().to_owned());
         }
     }
@@ -241,7 +242,7 @@
     rows.collect()
 }
 
-fn unopened(error: &tokio_postgres::Error) -> CallerVerdict {
+fn not_run_verdict(error: &tokio_postgres::Error) -> CallerVerdict {
     match error.as_db_error() {
         Some(error) => CallerVerdict::NotRun {
             sqlstate: error.code().code().to_owned(),
@@ -256,9 +257,10 @@
     }
 }
 
-/// Reads a verdict from an error: a gateway says in the detail that the request was not run, an
-/// endpoint by its SQLSTATE that it is full, leaving or fenced.
-fn read_error(error: &DbError) -> CallerVerdict {
+/// Converts a server's error to a verdict. A gateway states in the error's detail that a request was not
+/// run; an endpoint rejects statements by a SQLSTATE of class 53 (too many connections) or 57P0x (fenced
+/// or shutting down).
+fn classify_error(error: &DbError) -> CallerVerdict {
     let sqlstate = error.code().code();
     let refused = error.detail() == Some(NOT_RUN_DETAIL)
         || sqlstate.starts_with("53")
@@ -279,13 +281,13 @@
     }
 }
 
-/// Parses `come back after N ms`.
+/// Parses the hint `come back after N ms`.
 fn parse_come_back(hint: &str) -> Option<u64> {
     let rest = hint.split_once("come back after ")?.1;
     rest.split_once(" ms")?.0.parse().ok()
 }
 
-/// Opens a TCP connection to see whether anybody listens.
+/// Returns whether a TCP connection to the address can be opened.
 pub async fn is_listening(address: SocketAddr) -> bool {
     TcpStream::connect(address).await.is_ok()
 }
--- a/crates/lab/src/data_port.rs
+++ b/crates/lab/src/data_port.rs
@@ -1,4 +1,7 @@
-//! The data port: statements by PostgreSQL's protocol, with few slots and few connections.
+//! The data port: a PostgreSQL server that executes the commands of [`crate::statement`].
+//!
+//! The numbers of concurrent statements (slots) and of connections are limited, as on a small database
+//! server. Injected faults take effect here: a frozen endpoint or a silenced connection doesn't answer.
 
 use crate::endpoint::EndpointShared;
 use crate::instance::KeyWrite;
@@ -47,7 +50,7 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// Takes connections.
+/// Accepts connections and serves each in a task.
 #[derive(Debug)]
 pub struct DataPort {
     shared: Arc<EndpointShared>,
@@ -63,7 +66,7 @@
         }
     }
 
-    /// Serves connections until the task is ended, and ends theirs with it.
+    /// Serves connections until the task is cancelled, which cancels the connections' tasks too.
     pub async fn run(self, listener: TcpListener) {
         let mut connections = JoinSet::new();
         loop {
@@ -87,7 +90,7 @@
             transaction: Mutex::new(None),
         });
         connections.spawn(async move {
-            // A caller that vanishes is no fault of the endpoint's.
+            // A client that disconnects is not a fault of the endpoint, hence the debug level.
             if let Err(error) = process_socket(socket, None, ConnectionHandlers(connection)).await {
                 log::debug!("event=connection_failed error=\"{error}\"");
             }
@@ -95,25 +98,29 @@
     }
 }
 
-/// One caller's connection.
+/// The state of one client connection.
 #[derive(Debug)]
 struct DataConnection {
     shared: Arc<EndpointShared>,
     cancels: Arc<ConnectionManager>,
+    /// The instance's generation when the connection was opened; see
+    /// [`crate::instance::InstanceCore::generation`].
     generation: u64,
+    /// The value of [`crate::faults::FaultState::silence_count`] when the connection was opened; a
+    /// later value means that the connection is silenced.
     silence_count: u64,
     permit: Mutex<Option<OwnedSemaphorePermit>>,
     transaction: Mutex<Option<OpenTransaction>>,
 }
 
-/// Writes that wait for their commit.
+/// The uncommitted writes of a transaction; `failed` is set after an error, as in PostgreSQL.
 #[derive(Debug, Default)]
 struct OpenTransaction {
     writes: Vec<KeyWrite>,
     failed: bool,
 }
 
-/// A statement's answer, before it is put into the protocol's form.
+/// The result of a command, before it is encoded for the protocol.
 enum CommandAnswer {
     Row(Vec<Option<String>>),
     NoRow,
@@ -123,12 +130,12 @@
 }
 
 impl DataConnection {
-    /// Waits while the endpoint is frozen, and for good once this connection is silenced.
+    /// Waits while the endpoint is frozen; never returns once this connection is silenced.
     ///
-    /// A silenced connection gives its place free: the server's host would notice the dead peer in
-    /// time, and the lab has no time for that.
-    async fn pass_faults(&self) {
-        self.shared.pass_freeze().await;
+    /// A silenced connection releases its connection permit at once. A real server does so when it
+    /// detects the dead peer, which takes longer than a test runs.
+    async fn wait_out_faults(&self) {
+        self.shared.wait_until_thawed().await;
         if self.is_silenced() {
             self.permit.lock().await.take();
             std::future::pending::<()>().await;
@@ -140,9 +147,9 @@
     }
 
     async fn execute(&self, command: LabCommand) -> PgWireResult<CommandAnswer> {
-        self.pass_faults().await;
+        self.wait_out_faults().await;
         let answer = self.execute_command(command).await;
-        self.pass_faults().await;
+        self.wait_out_faults().await;
         if answer.is_err() {
             self.fail_transaction().await;
         }
@@ -180,6 +187,8 @@
         }
     }
 
+    /// Rejects all commands but those that end the transaction or query the position once a
+    /// statement of the transaction has failed.
     async fn refuse_in_failed_transaction(&self, command: &LabCommand) -> PgWireResult<()> {
         let transaction = self.transaction.lock().await;
         let failed = transaction.as_ref().is_some_and(|open| open.failed);
@@ -264,7 +273,8 @@
         checked.map_err(into_error)
     }
 
-    /// Waits for a slot, checks that the statement may still run, and takes its time.
+    /// Acquires a slot, checks that the statement may still run, and holds the slot for `duration`
+    /// times the slow factor. The slot is released when the returned permit is dropped.
     async fn run_in_slot(
         &self,
         writes: bool,
@@ -274,17 +284,17 @@
         let Ok(slot) = slots.acquire_owned().await else {
             return std::future::pending().await;
         };
-        self.pass_faults().await;
+        self.wait_out_faults().await;
         self.check(writes).await?;
         let factor = self.shared.faults.borrow().slow_factor;
         sleep(duration * factor).await;
-        self.shared.pass_freeze().await;
+        self.shared.wait_until_thawed().await;
         Ok(slot)
     }
 }
 
 fn into_error(fault: StatementFault) -> PgWireError {
-    // A fenced instance ends the connection: whoever holds it must look for the new primary.
+    // A fenced instance closes the connection, so that the client looks for the new primary.
     let severity = match fault {
         StatementFault::Fenced(_) => "FATAL",
         StatementFault::ReadOnly => "ERROR",
@@ -357,7 +367,7 @@
         C::Error: Debug,
         PgWireError: From<<C as Sink<PgWireBackendMessage>>::Error>,
     {
-        self.pass_faults().await;
+        self.wait_out_faults().await;
         let database = client.metadata().get(METADATA_DATABASE);
         if database.map(String::as_str) != Some(self.shared.identity.group.as_str()) {
             return Err(error("FATAL", "3D000", "database does not exist"));
@@ -367,7 +377,7 @@
         };
         *self.permit.lock().await = Some(permit);
         sleep(self.shared.connect_time).await;
-        self.pass_faults().await;
+        self.wait_out_faults().await;
         Ok(())
     }
 }
@@ -423,7 +433,7 @@
     }
 }
 
-/// Tells clients of the extended protocol about parameters and columns: all are text.
+/// Describes parameters and columns to clients of the extended query protocol; all are of type text.
 #[derive(Debug)]
 struct CommandParser {
     shared: Arc<EndpointShared>,
@@ -443,7 +453,7 @@
     where
         C: ClientInfo + Unpin + Send + Sync,
     {
-        self.shared.pass_freeze().await;
+        self.shared.wait_until_thawed().await;
         if self.shared.faults.borrow().silence_count != self.silence_count {
             std::future::pending::<()>().await;
         }
@@ -466,7 +476,7 @@
     }
 }
 
-/// Gives `pgwire` the parts of one connection.
+/// The `pgwire` handlers of one connection, all of which are the connection itself.
 struct ConnectionHandlers(Arc<DataConnection>);
 
 impl PgWireServerHandlers for ConnectionHandlers {
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -1,4 +1,5 @@
-//! The demo: a small set, one write, some reads, and what each caller received.
+//! A demo: starts a small deployment, sends a keyed write twice and some reads through several gateways,
+//! and prints each caller's answer.
 
 use crate::caller::CallerSettings;
 use crate::caller::CallerVerdict;
@@ -22,23 +23,23 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-/// How long the demo's processes may take to be up.
-const UP_PATIENCE: Duration = Duration::from_secs(30);
+/// The timeout of each start-up step.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The pause between attempts to form control.
+/// The pause between attempts to form the control group.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// How long one request of the demo may take.
-const REQUEST_PATIENCE: Duration = Duration::from_secs(5);
+/// The timeout of a request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The demo's VMs: three control VMs that are gateways too, and two plain gateways.
+/// The number of VMs, all of which are gateways and three of which are also control VMs.
 const DEMO_VMS: usize = 5;
 
-/// Runs the demo; the folder holds the binaries `ragwortgated`, `ragwortctl` and `ragwort-lab`.
+/// Runs the demo with the binaries `ragwortgated`, `ragwortctl` and `ragwort-lab` of a folder.
 ///
 /// # Errors
 ///
-/// Returns the first [`SetFault`], also if a caller was not answered as it must be.
+/// Returns the first [`SetFault`]; an unexpected answer to a caller is [`SetFault::Refused`].
 pub async fn run_demo(binaries: PathBuf) -> Result<(), SetFault> {
     let settings = SetSettings {
         size: SiteSize {
@@ -54,10 +55,10 @@
     let peers = set.daemons[0].peers;
     let control = DemoControl { binaries, peers };
     control.form().await?;
-    set.wait_until_ready(UP_PATIENCE).await?;
+    set.wait_until_ready(STARTUP_TIMEOUT).await?;
     control.apply_contract(&set).await?;
     let group = set.group_names()[0];
-    set.wait_until_whole(group, UP_PATIENCE).await?;
+    set.wait_until_whole(group, STARTUP_TIMEOUT).await?;
     let outcome = send_requests(&set, group).await;
     println!("Stopping every process.");
     set.stop().await?;
@@ -66,7 +67,7 @@
     Ok(())
 }
 
-/// Runs `ragwortctl`.
+/// Runs commands of `ragwortctl` and prints their output.
 struct DemoControl {
     binaries: PathBuf,
     peers: SocketAddr,
@@ -74,7 +75,7 @@
 
 impl DemoControl {
     async fn form(&self) -> Result<(), SetFault> {
-        let end = Instant::now() + UP_PATIENCE;
+        let end = Instant::now() + STARTUP_TIMEOUT;
         while !is_listening(self.peers).await && Instant::now() < end {
             sleep(RETRY_PAUSE).await;
         }
@@ -122,7 +123,8 @@
     }
 }
 
-/// Sends a write through one gateway and reads through others, in the same session.
+/// Sends a write twice with the same request key through one gateway, then reads through others in the
+/// same session and in another one.
 async fn send_requests(set: &LabSet, group: &str) -> Result<(), SetFault> {
     let marks = |kind| StatementMarks {
         kind: Some(kind),
@@ -163,7 +165,7 @@
             session: session.to_owned(),
         };
         let verdict = match GatewayCaller::open(&settings).await {
-            Ok(mut caller) => caller.run(&statement, REQUEST_PATIENCE).await,
+            Ok(mut caller) => caller.run(&statement, REQUEST_TIMEOUT).await,
             Err(verdict) => verdict,
         };
         println!("{session} at {}: {statement}", set.daemons[gateway].vm);
@@ -186,7 +188,8 @@
     }
 }
 
-/// Describes a verdict in one line: what was told, who served, at which term and position.
+/// Describes a verdict in one line: the outcome, the instance that served the request, and its term and
+/// position.
 pub fn describe(verdict: &CallerVerdict) -> String {
     match verdict {
         CallerVerdict::Ran { rows, served } => {
--- a/crates/lab/src/endpoint.rs
+++ b/crates/lab/src/endpoint.rs
@@ -1,4 +1,5 @@
-//! The endpoint stand-in: one instance with a data port, an agent and announcements.
+//! A stand-in for a database endpoint: one in-memory instance with a data port, an agent, replication
+//! and announcements.
 
 use crate::agent_port::AgentService;
 use crate::announcer::Announcer;
@@ -26,44 +27,46 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// The most connections to an agent's port; every VM that watches the instance holds a few.
-const AGENT_CONNECTIONS: u32 = 1024;
+/// The maximum number of connections to an agent's port; each VM that monitors the instance holds a
+/// few.
+const MAX_AGENT_CONNECTIONS: u32 = 1024;
 
-/// How an endpoint is set up.
+/// The settings of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointSettings {
-    /// The group.
+    /// The name of the database group.
     pub group: GroupName,
-    /// The instance.
+    /// The name of the instance.
     pub instance: InstanceName,
     /// The failure domain.
     pub domain: DomainName,
-    /// Where to take statements; port 0 picks a free one.
+    /// The address of the data port; port 0 selects a free one.
     pub data_address: SocketAddr,
-    /// Where the agent answers; port 0 picks a free one.
+    /// The address of the agent; port 0 selects a free one.
     pub agent_address: SocketAddr,
-    /// The data address to announce, if callers come by another way, such as a relay.
+    /// The announced address of the data port, if clients connect through a relay.
     pub advertised_data: Option<SocketAddr>,
-    /// The agent's address to announce, if another.
+    /// The announced address of the agent, if clients connect through a relay.
     pub advertised_agent: Option<SocketAddr>,
-    /// Daemons to announce to.
+    /// The addresses of the daemons to announce to.
     pub announce: Vec<SocketAddr>,
-    /// How many statements run at once.
+    /// The number of statements that can run concurrently.
     pub slots: u32,
-    /// How many connections are taken.
+    /// The maximum number of connections.
     pub connections: u32,
-    /// How long a connection takes to open.
+    /// The time that opening a connection takes.
     pub connect_time: Duration,
-    /// How long a statement takes.
+    /// The time that a statement occupies a slot.
     pub service_time: Duration,
-    /// A replica's lag, in milliseconds.
+    /// The replication lag of a replica, in milliseconds.
     pub lag_ms: u64,
-    /// Whether the instance starts as the primary of term 0, for a brand new group.
+    /// Whether the instance starts as the primary of term 0, as in a new group.
     pub primary: bool,
 }
 
 impl EndpointSettings {
-    /// Returns the settings of a quick endpoint of the group `cases` on free ports of 127.0.0.1.
+    /// Returns the settings of an endpoint of the group `cases` for tests: on free ports of 127.0.0.1,
+    /// with a service time of 1 ms, without delays or announcements.
     pub fn quick(instance: &str, primary: bool) -> Self {
         let any_port: SocketAddr = ([127, 0, 0, 1], 0).into();
         Self {
@@ -85,35 +88,35 @@
     }
 }
 
-/// What the endpoint's tasks share.
+/// The state that the endpoint's tasks share.
 #[derive(Debug)]
 pub struct EndpointShared {
-    /// Which instance of which group this is.
+    /// The names of group and instance.
     pub identity: InstanceIdentity,
-    /// The instance.
+    /// The instance's state.
     pub instance: InstanceHandle,
-    /// The faults in force.
+    /// The active faults.
     pub faults: watch::Sender<FaultState>,
-    /// The slots.
+    /// One permit for each free slot.
     pub slots: Arc<Semaphore>,
-    /// The connections that may still be opened.
+    /// One permit for each connection that may still be opened.
     pub connections: Arc<Semaphore>,
-    /// How long a connection takes to open.
+    /// The time that opening a connection takes.
     pub connect_time: Duration,
-    /// How long a statement takes.
+    /// The time that a statement occupies a slot.
     pub service_time: Duration,
 }
 
 impl EndpointShared {
     /// Waits while the endpoint is frozen.
-    pub async fn pass_freeze(&self) {
+    pub async fn wait_until_thawed(&self) {
         let mut faults = self.faults.subscribe();
         // The sender lives as long as `self`, so the wait can't fail.
         let _ = faults.wait_for(|state| !state.frozen).await;
     }
 
-    /// Waits while the endpoint is frozen or cut off, for calls that it makes itself.
-    pub async fn pass_isolation(&self) {
+    /// Waits while the endpoint is frozen or isolated, in which case it must not make calls.
+    pub async fn wait_until_calls_allowed(&self) {
         let mut faults = self.faults.subscribe();
         // The sender lives as long as `self`, so the wait can't fail.
         let _ = faults
@@ -121,7 +124,7 @@
             .await;
     }
 
-    /// Applies a fault and returns the faults then in force.
+    /// Applies a fault request and returns the resulting state.
     pub async fn set_fault(&self, request: FaultRequest) -> FaultState {
         if let FaultRequest::Leaving(leaving) = request {
             self.instance.set_leaving(leaving).await;
@@ -142,11 +145,11 @@
 }
 
 impl LabEndpoint {
-    /// Starts an endpoint's tasks.
+    /// Binds the ports and starts the endpoint's tasks.
     ///
     /// # Errors
     ///
-    /// Returns the [`io::Error`] of a port that can't be bound.
+    /// Returns an [`io::Error`] if a port can't be bound.
     pub async fn start(settings: &EndpointSettings) -> io::Result<Self> {
         let (instance_task, instance) = create_instance(InstanceCore::new(settings.primary));
         let shared = Arc::new(EndpointShared {
@@ -164,7 +167,7 @@
         let listener = TcpListener::bind(settings.data_address).await?;
         let data_address = listener.local_addr()?;
         let config = ServerConfig::builder()
-            .max_connections(AGENT_CONNECTIONS)
+            .max_connections(MAX_AGENT_CONNECTIONS)
             .set_tcp_no_delay(true)
             .build();
         let server = Server::builder()
@@ -201,30 +204,30 @@
         })
     }
 
-    /// Returns where the endpoint takes statements.
+    /// Returns the address of the data port.
     pub fn data_address(&self) -> SocketAddr {
         self.data_address
     }
 
-    /// Returns where the agent answers.
+    /// Returns the address of the agent.
     pub fn agent_address(&self) -> SocketAddr {
         self.agent_address
     }
 
-    /// Returns what the endpoint's tasks share, for tests in the same process.
+    /// Returns the state that the endpoint's tasks share, for tests in the same process.
     pub fn shared(&self) -> &Arc<EndpointShared> {
         &self.shared
     }
 
-    /// Announces that the instance is leaving and keeps serving for a while.
-    pub async fn leave(&self, patience: Duration) {
+    /// Announces that the instance is about to shut down and keeps serving for the notice period.
+    pub async fn leave(&self, notice: Duration) {
         self.shared.instance.set_leaving(true).await;
-        tokio::time::sleep(patience).await;
+        tokio::time::sleep(notice).await;
     }
 
     /// Stops all tasks and waits until they have ended.
     pub async fn stop(mut self) {
-        // An agent that has stopped already needs no second order.
+        // An error means that the agent has already been stopped.
         let _ = self.agent.stop();
         self.agent.stopped().await;
         self.tasks.shutdown().await;
--- a/crates/lab/src/faults.rs
+++ b/crates/lab/src/faults.rs
@@ -1,46 +1,50 @@
-//! Faults that a test or an operator of the lab asks an endpoint for.
+//! Fault injection: the faults that can be requested from a running endpoint.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A fault to begin or end.
+/// A request to begin or end a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FaultRequest {
-    /// Both ports stop answering, or answer again.
+    /// Stops both ports from answering (`true`) or lets them answer again. The calls that set faults and
+    /// read the log are still answered.
     Freeze(bool),
-    /// Service times are multiplied by this; 1 is the normal speed.
+    /// Multiplies service times by this factor; 1 is the normal speed.
     Slow(u32),
-    /// Data connections that are open now never answer again; new ones work.
+    /// Silences the data connections that are open now for good; new ones work.
     SilenceConnections,
-    /// The replica stops pulling from its primary, or pulls again.
+    /// Stops a replica from fetching log entries (`true`) or lets it fetch again.
     CutReplication(bool),
-    /// The endpoint makes no calls: it neither announces itself nor pulls. With relays in front of
-    /// its ports it is cut off from everybody while it goes on by itself.
+    /// Stops the endpoint's own calls, which are announcements and replication (`true`), or allows
+    /// them again. With relays in front of its ports set to hang, this is a network partition in
+    /// which the endpoint keeps running.
     Isolate(bool),
-    /// At its next promotion the instance drops so many of its last entries.
+    /// Makes the instance drop this many of its last log entries at each promotion.
     LoseTail(u64),
-    /// The instance announces that it is leaving, or that it stays.
+    /// Announces that the instance is about to shut down (`true`) or that it stays.
     Leaving(bool),
-    /// The replica applies entries so many milliseconds after they were written.
+    /// Sets the replication lag: the replica applies entries this many milliseconds after they were
+    /// written.
     Lag(u64),
 }
 
-/// The faults in force.
+/// The active faults of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FaultState {
-    /// Whether both ports are silent.
+    /// Whether both ports don't answer.
     pub frozen: bool,
-    /// The factor on service times.
+    /// The factor by which service times are multiplied.
     pub slow_factor: u32,
-    /// Raised each time the open connections are silenced.
+    /// The number of times that open connections were silenced. A connection is silenced if it was
+    /// opened at a lower count.
     pub silence_count: u64,
-    /// Whether the replica doesn't pull.
+    /// Whether the replica fetches no log entries.
     pub replication_cut: bool,
     /// Whether the endpoint makes no calls.
     pub isolated: bool,
-    /// How many entries the next promotion drops.
+    /// The number of log entries that a promotion drops.
     pub lose_tail: u64,
-    /// The replica's lag, in milliseconds.
+    /// The replication lag, in milliseconds.
     pub lag_ms: u64,
 }
 
@@ -58,8 +62,8 @@
         }
     }
 
-    /// Applies a request; [`FaultRequest::Leaving`] belongs to the instance and changes nothing
-    /// here.
+    /// Applies a request. [`FaultRequest::Leaving`] changes nothing here, as it is part of the
+    /// instance's status.
     pub fn apply(&mut self, request: FaultRequest) {
         match request {
             FaultRequest::Freeze(frozen) => self.frozen = frozen,
--- a/crates/lab/src/gap.rs
+++ b/crates/lab/src/gap.rs
@@ -1,5 +1,5 @@
-//! Measures the failover gap: from a primary's last answer to the first write that its successor
-//! landed, as callers see it.
+//! Measures the failover gap: the time from the last write that a primary acknowledged to the first
+//! write that its successor acknowledged, as callers see it.
 
 use crate::caller::CallerSettings;
 use crate::caller::CallerVerdict;
@@ -23,36 +23,37 @@
 use tokio::time::sleep_until;
 use tokio::time::timeout;
 
-/// Callers that write. So many that one which waits for a lost primary's answer doesn't thin out
-/// the writes that show the end of the gap.
+/// The number of concurrent writers. It is large enough that writers which still wait for an answer of the
+/// lost primary don't noticeably reduce the rate of writes at the end of the gap.
 const WRITERS: u32 = 40;
 
-/// The time between two writes of one caller; together they write every 10 ms.
+/// The interval between the writes of one writer; all writers together write every 10 ms.
 const WRITE_PERIOD: Duration = Duration::from_millis(400);
 
-/// How long a write waits for its verdict.
-const WRITE_PATIENCE: Duration = Duration::from_secs(3);
+/// The timeout of a write.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long writes go on before the fault.
+/// The minimum time between the first write and the fault, in milliseconds.
 const WARM_UP_MS: u64 = 800;
 
-/// Up to so much longer, drawn anew for each run, so that faults meet the timers at any phase.
-const JITTER_MS: u64 = 400;
+/// The upper bound of the random addition to [`WARM_UP_MS`], in milliseconds. It is drawn for each run, so
+/// that faults occur at different phases of the periodic timers.
+const MAX_JITTER_MS: u64 = 400;
 
-/// How long a successor may take before the run counts as failed.
-const SUCCESSOR_PATIENCE: Duration = Duration::from_secs(30);
+/// The time within which a successor must acknowledge a write, or the run counts as failed.
+const SUCCESSOR_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long the group may take to be whole again.
-const WHOLE_PATIENCE: Duration = Duration::from_secs(60);
+/// The timeout for the group to be whole again before the next run.
+const WHOLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What happens to the primary.
+/// A fault of the primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PrimaryFault {
-    /// Its process is killed; its connections are reset.
+    /// The process is killed, which resets its connections.
     Kill,
-    /// Its process stands still; its connections stay open and silent.
+    /// The process is stopped; its connections stay open but silent.
     Freeze,
-    /// It is cut off from everybody and goes on by itself.
+    /// The endpoint is partitioned from all other processes and keeps running.
     Cut,
 }
 
@@ -69,23 +70,24 @@
     }
 }
 
-/// One measured failover.
+/// The measurements of one failover.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct GapRun {
-    /// From the old primary's last acknowledged write to the successor's first, in milliseconds.
+    /// The time from the old primary's last acknowledged write to the successor's first, in
+    /// milliseconds.
     pub gap_ms: f64,
-    /// From the fault to the successor's first acknowledged write, in milliseconds.
+    /// The time from the fault to the successor's first acknowledged write, in milliseconds.
     pub from_fault_ms: f64,
-    /// The phases that the leaseholder logged, in milliseconds.
+    /// The durations of the promotion's phases, as the leaseholder logged them, in milliseconds.
     pub phases: BTreeMap<String, f64>,
 }
 
-/// All measured failovers.
+/// The measurements of all failovers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct GapReport {
-    /// The runs that ended with a successor.
+    /// The successful runs.
     pub runs: Vec<GapRun>,
-    /// Runs without a successor in time, in words.
+    /// The reasons of the failed runs.
     pub failed: Vec<String>,
 }
 
@@ -140,7 +142,7 @@
 ///
 /// # Errors
 ///
-/// Returns the [`SetFault`] that keeps the next run from starting, with the set as it stands.
+/// Returns the [`SetFault`] that prevents the next run. The set's processes are left as they are.
 pub async fn measure_gaps(
     set: &mut LabSet,
     fault: PrimaryFault,
@@ -151,8 +153,8 @@
     let mut random = StdRng::seed_from_u64(seed);
     let mut report = GapReport::default();
     for number in 0..runs {
-        set.wait_until_whole(group, WHOLE_PATIENCE).await?;
-        let warm_up = WARM_UP_MS + random.random_range(0..JITTER_MS);
+        set.wait_until_whole(group, WHOLE_TIMEOUT).await?;
+        let warm_up = WARM_UP_MS + random.random_range(0..MAX_JITTER_MS);
         let warm_up = Duration::from_millis(warm_up);
         match measure_gap(set, group, fault, warm_up).await? {
             Ok(run) => {
@@ -168,6 +170,8 @@
     Ok(report)
 }
 
+/// Measures one failover. The inner error is the reason of a failed run, after which the next one can
+/// start.
 async fn measure_gap(
     set: &mut LabSet,
     group: &str,
@@ -179,18 +183,24 @@
     };
     let old = set.endpoints[primary].instance.clone();
     let log_starts = read_log_lengths(set);
-    let (mut writers, mut landed) = start_writers(set, group);
+    let (mut writers, mut acknowledged_writes) = start_writers(set, group);
     sleep(warm_up).await;
     let fault_at = Instant::now();
     begin_fault(set, primary, fault).await?;
-    let found = timeout(SUCCESSOR_PATIENCE, find_gap(&mut landed, &old)).await;
+    let found = timeout(
+        SUCCESSOR_TIMEOUT,
+        wait_for_successor_write(&mut acknowledged_writes, &old),
+    )
+    .await;
     writers.shutdown().await;
     end_fault(set, primary, fault).await?;
     let Ok(Some((last_old, first_new))) = found else {
-        return Ok(Err(format!("no write landed after {old} was lost")));
+        return Ok(Err(format!(
+            "no write was acknowledged after the fault of {old}"
+        )));
     };
     let Some(last_old) = last_old else {
-        return Ok(Err(format!("no write landed at {old} before the fault")));
+        return Ok(Err(format!("{old} acknowledged no write before the fault")));
     };
     Ok(Ok(GapRun {
         gap_ms: to_millis(first_new.duration_since(last_old)),
@@ -229,24 +239,25 @@
     Ok(())
 }
 
-/// A write that was acknowledged: when, and by which instance.
+/// An acknowledged write: its time and the instance that served it.
 #[derive(Debug)]
-struct LandedWrite {
+struct AcknowledgedWrite {
     at: Instant,
     instance: String,
 }
 
-/// Waits for the first write of a successor; returns the old primary's last write with it.
+/// Waits for the first write of a successor. Returns the times of the old primary's last write, if there
+/// was one, and of the successor's first.
 ///
-/// The channel keeps the order in which verdicts were told only roughly, so the latest of the old
-/// primary's counts.
-async fn find_gap(
-    landed: &mut mpsc::UnboundedReceiver<LandedWrite>,
+/// The writers' messages may arrive slightly out of order, so the latest time of the old primary's writes
+/// counts rather than the last one received.
+async fn wait_for_successor_write(
+    acknowledged_writes: &mut mpsc::UnboundedReceiver<AcknowledgedWrite>,
     old: &str,
 ) -> Option<(Option<Instant>, Instant)> {
     let mut last_old = None;
     loop {
-        let write = landed.recv().await?;
+        let write = acknowledged_writes.recv().await?;
         if write.instance != old {
             return Some((last_old, write.at));
         }
@@ -254,8 +265,11 @@
     }
 }
 
-fn start_writers(set: &LabSet, group: &str) -> (JoinSet<()>, mpsc::UnboundedReceiver<LandedWrite>) {
-    let (sender, landed) = mpsc::unbounded_channel();
+fn start_writers(
+    set: &LabSet,
+    group: &str,
+) -> (JoinSet<()>, mpsc::UnboundedReceiver<AcknowledgedWrite>) {
+    let (sender, acknowledged_writes) = mpsc::unbounded_channel();
     let gateways = set.gateways();
     let mut writers = JoinSet::new();
     for number in 0..WRITERS {
@@ -266,16 +280,17 @@
             session: format!("writer-{number}"),
         };
         let first = Instant::now() + WRITE_PERIOD * number / WRITERS;
-        writers.spawn(write_on(settings, first, sender.clone()));
+        writers.spawn(run_writer(settings, first, sender.clone()));
     }
-    (writers, landed)
+    (writers, acknowledged_writes)
 }
 
-/// Writes every [`WRITE_PERIOD`]; a write that takes longer skips the ticks that it missed.
-async fn write_on(
+/// Writes every [`WRITE_PERIOD`] and sends acknowledged writes to the channel. If a write takes longer, the
+/// missed ticks are skipped.
+async fn run_writer(
     settings: CallerSettings,
     first: Instant,
-    landed: mpsc::UnboundedSender<LandedWrite>,
+    acknowledged_writes: mpsc::UnboundedSender<AcknowledgedWrite>,
 ) {
     let marks = StatementMarks {
         kind: Some(UPDATE_KIND),
@@ -295,17 +310,17 @@
         let Some(open) = caller.as_mut() else {
             continue;
         };
-        match open.run(&statement, WRITE_PATIENCE).await {
+        match open.run(&statement, WRITE_TIMEOUT).await {
             CallerVerdict::Ran {
                 served: Some(served),
                 ..
             } => {
-                let write = LandedWrite {
+                let write = AcknowledgedWrite {
                     at: Instant::now(),
                     instance: served.instance,
                 };
-                // Nobody listens any more once the gap is found.
-                let _ = landed.send(write);
+                // The receiver is dropped once the gap has been measured.
+                let _ = acknowledged_writes.send(write);
             }
             CallerVerdict::Unanswered => caller = None,
             _ => {}
@@ -329,6 +344,7 @@
         .collect()
 }
 
+/// Collects the promotion phases that the daemons have logged since their logs had these lengths.
 fn read_phases(set: &mut LabSet, group: &str, starts: &[usize]) -> BTreeMap<String, f64> {
     let mut phases = BTreeMap::new();
     for (text, start) in read_logs(set).iter().zip(starts) {
@@ -338,7 +354,8 @@
     phases
 }
 
-/// Parses a line with `event=promotion_phase group=G phase=P ms=N`.
+/// Parses a log line with `event=promotion_phase group=GROUP phase=PHASE ms=MILLIS` and returns phase and
+/// duration; `None` for other lines and groups.
 pub fn parse_phase(line: &str, group: &str) -> Option<(String, f64)> {
     let value = |key: &str| {
         line.split_whitespace()
--- a/crates/lab/src/instance.rs
+++ b/crates/lab/src/instance.rs
@@ -1,8 +1,10 @@
-//! The instance itself: log, role, terms and key-value state, without I/O.
+//! The state machine of one database instance: replicated log, role, term and key-value data, without
+//! I/O.
 //!
-//! Positions and terms follow what the platform promises of a database group: a fenced instance
-//! refuses earlier terms for good, a promoted one begins its term with an empty entry, and a
-//! follower drops what its primary lacks before it takes anything.
+//! It gives the guarantees that the platform gives for a database group. Once fenced at a term, an
+//! instance rejects every earlier term. A promoted instance begins its term with an empty log entry. A
+//! follower truncates its log to the prefix that it shares with its primary before it appends the
+//! primary's entries, so that all logs of a group converge.
 
 use ragwort_types::FenceReply;
 use ragwort_types::GroupTerm;
@@ -15,21 +17,21 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// One change of one key.
+/// A write to one key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum KeyWrite {
-    /// Sets the value.
+    /// Replaces the value of a key.
     Put {
         /// The key.
         key: String,
         /// The value.
         value: String,
     },
-    /// Appends to the list.
+    /// Appends an element to a comma-separated list.
     Append {
         /// The key.
         key: String,
-        /// The value.
+        /// The element.
         value: String,
     },
 }
@@ -42,7 +44,7 @@
         }
     }
 
-    /// Returns the key's value after the change, given the value before.
+    /// Returns the key's value after this write, given its value before.
     pub fn apply_to(&self, before: Option<&str>) -> String {
         match (self, before) {
             (Self::Append { value, .. }, Some(list)) => format!("{list},{value}"),
@@ -51,40 +53,40 @@
     }
 }
 
-/// One entry of the replicated log: the writes of one transaction, applied together.
+/// An entry of the replicated log: the writes of one transaction, applied atomically.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// The term that wrote it.
+    /// The term of the primary that wrote the entry.
     pub term: GroupTerm,
-    /// When the primary wrote it, in microseconds since the Unix epoch; replicas apply their lag
-    /// from it.
+    /// The time at which the primary wrote the entry, in microseconds since the Unix epoch. A
+    /// replica's configured lag counts from it.
     pub written_us: u64,
-    /// The writes; none for the entry that begins a term.
+    /// The writes, in order; empty for the entry that begins a term.
     pub writes: Vec<KeyWrite>,
 }
 
-/// What the instance does with statements.
+/// The mode of an instance, which decides which statements it accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InstanceMode {
-    /// Takes reads and writes.
+    /// Accepts reads and writes.
     Primary,
-    /// Takes reads.
+    /// Accepts reads only.
     Replica,
-    /// Was a primary and was fenced: takes nothing until it follows or is promoted.
+    /// A fenced former primary: rejects all statements until it follows a primary or is promoted.
     Fenced,
 }
 
-/// Why the instance refused a statement; nothing of it was applied.
+/// The reason for which an instance rejected a statement. A rejected statement has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatementFault {
-    /// The instance, or this connection's view of it, was fenced at this term.
+    /// The instance was fenced at this term, at present or since the connection was opened.
     Fenced(GroupTerm),
-    /// The instance is a replica and the statement writes.
+    /// The statement writes and the instance is a replica.
     ReadOnly,
 }
 
 impl StatementFault {
-    /// Returns the SQLSTATE of the fault.
+    /// Returns the SQLSTATE with which the statement fails.
     pub fn sqlstate(self) -> &'static str {
         match self {
             Self::Fenced(_) => "57P01",
@@ -102,41 +104,43 @@
     }
 }
 
-/// Whom a replica follows.
+/// The primary that a replica pulls log entries from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FollowTarget {
-    /// The term.
+    /// The primary's term.
     pub term: GroupTerm,
-    /// The agent of the term's primary.
+    /// The address of the primary's agent.
     pub primary_agent: SocketAddr,
 }
 
 /// A follower's request for log entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FetchRequest {
-    /// The term that the follower is in.
+    /// The follower's term.
     pub term: GroupTerm,
-    /// The follower's last entry.
+    /// The position of the follower's last entry.
     pub after: LogPosition,
-    /// How long to wait for entries if there are none, in milliseconds.
+    /// The time to wait for new entries if there are none, in milliseconds.
     pub wait_ms: u64,
 }
 
 /// A primary's reply to a [`FetchRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FetchReply {
-    /// The entries after the follower's last one; the follower's log up to there is a prefix.
+    /// The entries after the follower's last one, which means that the follower's log is a prefix of
+    /// the primary's.
     Entries(Vec<LogEntry>),
-    /// The follower's last entry isn't in the primary's log; try again after this index.
+    /// The follower's last entry isn't in the primary's log; the follower truncates its log to this
+    /// index and fetches again.
     Mismatch(u64),
-    /// The instance isn't the primary of that term.
+    /// The instance isn't the primary of the requested term.
     NotPrimary,
 }
 
-/// The most entries in one reply to a fetch; bounds the message.
-const FETCH_LIMIT: usize = 512;
+/// The maximum number of entries in one reply to a fetch, which bounds the size of the message.
+const MAX_FETCH_ENTRIES: usize = 512;
 
-/// One instance of a database group.
+/// The state of one instance of a database group.
 #[derive(Debug)]
 pub struct InstanceCore {
     log: Vec<LogEntry>,
@@ -149,7 +153,7 @@
 }
 
 impl InstanceCore {
-    /// Creates an empty instance; `primary` makes it the primary of term 0.
+    /// Creates an empty instance: the primary of term 0 if `primary` is set, else a replica.
     pub fn new(primary: bool) -> Self {
         let mode = match primary {
             true => InstanceMode::Primary,
@@ -171,7 +175,7 @@
         self.position_before(self.log.len() as u64)
     }
 
-    /// Returns what the agent says of the instance.
+    /// Returns the status that the agent reports for the instance.
     pub fn status(&self) -> InstanceStatus {
         InstanceStatus {
             role: self.role(),
@@ -181,35 +185,37 @@
         }
     }
 
-    /// Returns whom the instance follows.
+    /// Returns the primary that the instance follows, if any.
     pub fn target(&self) -> Option<FollowTarget> {
         self.target
     }
 
-    /// Returns the log.
+    /// Returns the log's entries.
     pub fn log(&self) -> &[LogEntry] {
         &self.log
     }
 
-    /// Returns the generation, which is raised whenever a primary is fenced.
+    /// Returns the generation, a counter that is incremented whenever a primary is fenced.
     ///
-    /// A connection remembers the generation in which it was opened and gets only refusals
-    /// afterwards. Otherwise a position asked for after the instance has joined a later term would
-    /// seem to cover a write that the truncation dropped, and a lost write would be acknowledged.
+    /// A connection keeps the generation in which it was opened, and all its statements are rejected
+    /// once the instance is in a later one. Otherwise a position queried after the instance has
+    /// joined a later term would appear to cover a write that the truncation dropped, and the proxy
+    /// would acknowledge a lost write.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// Sets whether the instance is leaving.
+    /// Sets whether the status announces that the instance is about to shut down.
     pub fn set_leaving(&mut self, leaving: bool) {
         self.leaving = leaving;
     }
 
-    /// Checks that a statement may run.
+    /// Checks that a connection of this generation may run a statement, which writes if `writes` is
+    /// set.
     ///
     /// # Errors
     ///
-    /// Returns the [`StatementFault`] if it may not.
+    /// Returns a [`StatementFault`] if the statement must be rejected.
     pub fn check(&self, generation: u64, writes: bool) -> Result<(), StatementFault> {
         if generation != self.generation {
             return Err(StatementFault::Fenced(self.fenced_term));
@@ -222,21 +228,21 @@
         }
     }
 
-    /// Reads a key.
+    /// Returns the value of a key, if it has one.
     ///
     /// # Errors
     ///
-    /// Returns the [`StatementFault`] if the instance may not answer.
+    /// Returns a [`StatementFault`] if the statement must be rejected.
     pub fn read(&self, generation: u64, key: &str) -> Result<Option<String>, StatementFault> {
         self.check(generation, false)?;
         Ok(self.values.get(key).cloned())
     }
 
-    /// Applies writes as one entry.
+    /// Appends the writes to the log as one entry, applies them and returns the entry's position.
     ///
     /// # Errors
     ///
-    /// Returns the [`StatementFault`] if the instance may not write; nothing is applied then.
+    /// Returns a [`StatementFault`] if the statement must be rejected; nothing is applied then.
     pub fn commit(
         &mut self,
         generation: u64,
@@ -252,23 +258,24 @@
         Ok(self.position())
     }
 
-    /// Refuses every term before `term` from now on.
+    /// Fences the instance: it rejects every term before `term` from now on.
     ///
-    /// Fencing at the term in which the instance already stands changes nothing.
+    /// Fencing is idempotent; an instance that is already in `term` stays as it is.
     pub fn fence(&mut self, term: GroupTerm) -> FenceReply {
         if term < self.fenced_term {
             return FenceReply::Refused(self.fenced_term);
         }
         if term > self.fenced_term {
-            self.enter(term);
+            self.enter_term(term);
         }
         FenceReply::Fenced(self.position())
     }
 
-    /// Makes the instance the primary of `term`, at which it must be fenced.
+    /// Makes the instance the primary of `term`, at which it must have been fenced.
     ///
-    /// The reply's position is that of the term's first entry, which is empty. `lose_tail` drops so
-    /// many entries before: a fault that the proxy is meant to notice.
+    /// The reply holds the position of the term's first entry, which is empty. Before that entry,
+    /// the last `lose_tail` entries are dropped: an injected loss of data, which the proxy has to
+    /// detect.
     pub fn promote(&mut self, term: GroupTerm, lose_tail: u64, now_us: u64) -> FenceReply {
         if term != self.fenced_term {
             return FenceReply::Refused(self.fenced_term);
@@ -288,23 +295,23 @@
         FenceReply::Fenced(self.position())
     }
 
-    /// Makes the instance follow the primary of a term.
+    /// Makes the instance a follower of a term's primary.
     ///
-    /// What that primary lacks is dropped with the first entries that arrive from it.
+    /// Entries that the primary lacks are dropped when its first entries arrive.
     pub fn follow(&mut self, target: FollowTarget) -> FenceReply {
         let is_primary = self.mode == InstanceMode::Primary && target.term == self.fenced_term;
         if target.term < self.fenced_term || is_primary {
             return FenceReply::Refused(self.fenced_term);
         }
         if target.term > self.fenced_term {
-            self.enter(target.term);
+            self.enter_term(target.term);
         }
         self.mode = InstanceMode::Replica;
         self.target = Some(target);
         FenceReply::Fenced(self.position())
     }
 
-    /// Answers a follower.
+    /// Returns the entries after a follower's last one, or the reason why there are none to return.
     pub fn fetch(&self, request: FetchRequest) -> FetchReply {
         if self.mode != InstanceMode::Primary || request.term != self.fenced_term {
             return FetchReply::NotPrimary;
@@ -312,16 +319,16 @@
         let after = request.after;
         if self.holds(after) {
             let start = after.index as usize;
-            let end = self.log.len().min(start + FETCH_LIMIT);
+            let end = self.log.len().min(start + MAX_FETCH_ENTRIES);
             return FetchReply::Entries(self.log[start..end].to_vec());
         }
-        FetchReply::Mismatch(self.common_bound(after))
+        FetchReply::Mismatch(self.common_prefix_bound(after))
     }
 
-    /// Appends entries that the primary of `term` sent after index `after`, dropping what the
-    /// primary lacks.
+    /// Truncates the log to `after` entries and appends the entries that the primary of `term` sent.
     ///
-    /// Entries of an earlier term's primary that arrive late are ignored.
+    /// The call has no effect unless the instance follows that primary, so late entries from the
+    /// primary of an earlier term are ignored.
     pub fn append(&mut self, term: GroupTerm, after: u64, entries: Vec<LogEntry>) {
         if !self.follows(term) || after > self.log.len() as u64 {
             return;
@@ -332,7 +339,8 @@
         }
     }
 
-    /// Drops entries after `index` because the primary of `term` said that it lacks them.
+    /// Drops the entries after `index`, which the primary of `term` has reported as missing from its
+    /// log.
     pub fn drop_after(&mut self, term: GroupTerm, index: u64) {
         if self.follows(term) {
             self.truncate(index);
@@ -350,7 +358,8 @@
         self.mode == InstanceMode::Replica && self.target.is_some_and(|target| target.term == term)
     }
 
-    fn enter(&mut self, term: GroupTerm) {
+    /// Enters a later term. A primary becomes fenced, which begins a new generation.
+    fn enter_term(&mut self, term: GroupTerm) {
         if self.mode == InstanceMode::Primary {
             self.mode = InstanceMode::Fenced;
             self.generation += 1;
@@ -359,7 +368,7 @@
         self.target = None;
     }
 
-    /// Returns the position after the first `index` entries.
+    /// Returns the position of the entry with this index, counted from 1; index 0 is the empty log.
     pub fn position_before(&self, index: u64) -> LogPosition {
         let last = (index as usize)
             .checked_sub(1)
@@ -372,9 +381,9 @@
         position.index <= self.log.len() as u64 && self.position_before(position.index) == position
     }
 
-    /// Returns an index below the mismatch up to which both logs may agree: entries above it are of
-    /// a later term than the follower's last entry, or beyond this log's end.
-    fn common_bound(&self, after: LogPosition) -> u64 {
+    /// Returns an upper bound, below the mismatch, on the length of the logs' common prefix. Entries
+    /// above it belong to a later term than the follower's last entry or lie beyond this log's end.
+    fn common_prefix_bound(&self, after: LogPosition) -> u64 {
         let mut bound = after.index.saturating_sub(1).min(self.log.len() as u64);
         while bound > 0 && self.position_before(bound).term > after.term {
             bound -= 1;
@@ -391,6 +400,7 @@
         self.log.push(entry);
     }
 
+    /// Keeps the first `kept` entries and rebuilds the key-value data from them.
     fn truncate(&mut self, kept: u64) {
         if kept >= self.log.len() as u64 {
             return;
--- a/crates/lab/src/instance_task.rs
+++ b/crates/lab/src/instance_task.rs
@@ -1,7 +1,8 @@
-//! The task that owns an instance, and the handle by which connections and agent talk to it.
+//! The task that owns an instance's state, and the handle through which connections and the agent
+//! use it.
 //!
-//! Fence, commit and promotion are single messages to one task, so that none of them can fall
-//! between a statement's check and its effect.
+//! All operations are messages to this one task, which serves them in order. A fence or promotion
+//! therefore can't take place between the check of a commit and its effect.
 
 use crate::instance::FetchReply;
 use crate::instance::FetchRequest;
@@ -20,12 +21,13 @@
 use tokio::sync::oneshot;
 use tokio::sync::watch;
 
-/// The number of commands that may wait for the instance's task.
-const COMMAND_QUEUE: usize = 1024;
+/// The capacity of the queue of commands to the instance's task.
+const COMMAND_QUEUE_CAPACITY: usize = 1024;
 
-/// What a position query answers with.
+/// The result of a position query.
 pub type PositionReply = Result<InstanceStatus, StatementFault>;
 
+/// A call of the instance's task: the arguments, and the channel for the reply.
 enum InstanceCommand {
     Check(u64, bool, oneshot::Sender<Result<(), StatementFault>>),
     Read(u64, String, oneshot::Sender<ReadReply>),
@@ -46,7 +48,7 @@
 type ReadReply = Result<Option<String>, StatementFault>;
 type CommitReply = Result<LogPosition, StatementFault>;
 
-/// Talks to an instance's task.
+/// A handle for calls of an instance's task; clones refer to the same instance.
 #[derive(Clone, Debug)]
 pub struct InstanceHandle {
     commands: mpsc::Sender<InstanceCommand>,
@@ -65,7 +67,7 @@
 
 /// Creates the task for an instance, and its handle.
 pub fn create_instance(core: InstanceCore) -> (InstanceTask, InstanceHandle) {
-    let (command_sender, commands) = mpsc::channel(COMMAND_QUEUE);
+    let (command_sender, commands) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
     let (status, status_receiver) = watch::channel(core.status());
     let (target, target_receiver) = watch::channel(core.target());
     let task = InstanceTask {
@@ -83,7 +85,7 @@
 }
 
 impl InstanceTask {
-    /// Serves commands until every handle is dropped.
+    /// Serves commands until all handles are dropped.
     pub async fn run(mut self) {
         while let Some(command) = self.commands.recv().await {
             self.serve(command);
@@ -91,6 +93,7 @@
         }
     }
 
+    /// Publishes status and follow target to their watchers if they have changed.
     fn publish(&self) {
         let status = self.core.status();
         self.status
@@ -100,7 +103,7 @@
             .send_if_modified(|known| std::mem::replace(known, target) != target);
     }
 
-    /// A reply that nobody waits for any more is dropped: the asker gave up.
+    /// Executes a command. Failing to send a reply is ignored: the caller has stopped waiting.
     fn serve(&mut self, command: InstanceCommand) {
         use InstanceCommand as Command;
         match command {
@@ -155,52 +158,52 @@
 }
 
 impl InstanceHandle {
-    /// Returns the channel on which the instance's status is published.
+    /// Returns a receiver of the instance's status.
     pub fn watch_status(&self) -> watch::Receiver<InstanceStatus> {
         self.status.clone()
     }
 
-    /// Returns the channel on which the follow target is published.
+    /// Returns a receiver of the instance's follow target.
     pub fn watch_target(&self) -> watch::Receiver<Option<FollowTarget>> {
         self.target.clone()
     }
 
-    /// Returns the present status.
+    /// Returns the current status.
     pub fn status(&self) -> InstanceStatus {
         *self.status.borrow()
     }
 
-    /// Returns the generation; see [`InstanceCore::generation`].
+    /// Returns the current generation; see [`InstanceCore::generation`].
     pub async fn generation(&self) -> u64 {
         self.ask(InstanceCommand::Generation).await
     }
 
-    /// Checks that a statement may run.
+    /// Checks that a statement may run; see [`InstanceCore::check`].
     ///
     /// # Errors
     ///
-    /// Returns the [`StatementFault`] if it may not.
+    /// Returns a [`StatementFault`] if the statement must be rejected.
     pub async fn check(&self, generation: u64, writes: bool) -> Result<(), StatementFault> {
         self.ask(|reply| InstanceCommand::Check(generation, writes, reply))
             .await
     }
 
-    /// Reads a key.
+    /// Returns the value of a key, if it has one.
     ///
     /// # Errors
     ///
-    /// Returns the [`StatementFault`] if the instance may not answer.
+    /// Returns a [`StatementFault`] if the statement must be rejected.
     pub async fn read(&self, generation: u64, key: &str) -> Result<Option<String>, StatementFault> {
         let key = key.to_owned();
         self.ask(|reply| InstanceCommand::Read(generation, key, reply))
             .await
     }
 
-    /// Applies writes as one entry.
+    /// Commits the writes as one log entry and returns its position.
     ///
     /// # Errors
     ///
-    /// Returns the [`StatementFault`] if the instance may not write; nothing is applied then.
+    /// Returns a [`StatementFault`] if the statement must be rejected; nothing is applied then.
     pub async fn commit(
         &self,
         generation: u64,
@@ -210,17 +213,17 @@
             .await
     }
 
-    /// Returns the status as a connection may see it.
+    /// Returns the instance's status to a connection of this generation.
     ///
     /// # Errors
     ///
-    /// Returns the [`StatementFault`] if the instance was fenced.
+    /// Returns a [`StatementFault`] if the instance has been fenced since the connection was opened.
     pub async fn position(&self, generation: u64) -> PositionReply {
         self.ask(|reply| InstanceCommand::Position(generation, reply))
             .await
     }
 
-    /// Fences the instance.
+    /// Fences the instance; see [`InstanceCore::fence`].
     pub async fn fence(&self, term: GroupTerm) -> FenceReply {
         self.ask(|reply| InstanceCommand::Fence(term, reply)).await
     }
@@ -231,37 +234,37 @@
             .await
     }
 
-    /// Makes the instance follow a primary.
+    /// Makes the instance follow a primary; see [`InstanceCore::follow`].
     pub async fn follow(&self, target: FollowTarget) -> FenceReply {
         self.ask(|reply| InstanceCommand::Follow(target, reply))
             .await
     }
 
-    /// Answers a follower.
+    /// Returns log entries to a follower; see [`InstanceCore::fetch`].
     pub async fn fetch(&self, request: FetchRequest) -> FetchReply {
         self.ask(|reply| InstanceCommand::Fetch(request, reply))
             .await
     }
 
-    /// Appends entries from the primary.
+    /// Appends entries from the primary; see [`InstanceCore::append`].
     pub async fn append(&self, term: GroupTerm, after: u64, entries: Vec<LogEntry>) {
         self.ask(|reply| InstanceCommand::Append(term, after, entries, reply))
             .await
     }
 
-    /// Drops entries that the primary lacks and returns the position then.
+    /// Drops entries that the primary lacks and returns the resulting position.
     pub async fn drop_after(&self, term: GroupTerm, index: u64) -> LogPosition {
         self.ask(|reply| InstanceCommand::DropAfter(term, index, reply))
             .await
     }
 
-    /// Returns the position of the entry with this index.
+    /// Returns the position of the entry with this index; see [`InstanceCore::position_before`].
     pub async fn position_at(&self, index: u64) -> LogPosition {
         self.ask(|reply| InstanceCommand::PositionAt(index, reply))
             .await
     }
 
-    /// Sets whether the instance is leaving.
+    /// Sets whether the status announces that the instance is about to shut down.
     pub async fn set_leaving(&self, leaving: bool) {
         self.ask(|reply| InstanceCommand::SetLeaving(leaving, reply))
             .await
@@ -272,8 +275,8 @@
         self.ask(InstanceCommand::ReadLog).await
     }
 
-    /// The task ends only when the endpoint stops; its askers are stopped by then, so one that is
-    /// left simply never hears.
+    /// Sends a command and waits for its reply. If the task has ended, the call never returns: the
+    /// task ends only when the endpoint stops, which cancels all callers.
     async fn ask<T>(&self, command: impl FnOnce(oneshot::Sender<T>) -> InstanceCommand) -> T {
         let (sender, reply) = oneshot::channel();
         if self.commands.send(command(sender)).await.is_err() {
@@ -286,7 +289,7 @@
     }
 }
 
-/// Returns the present time in microseconds since the Unix epoch.
+/// Returns the current time in microseconds since the Unix epoch.
 pub fn unix_micros() -> u64 {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
     elapsed.map_or(0, |elapsed| elapsed.as_micros() as u64)
--- a/crates/lab/src/lab_contract.rs
+++ b/crates/lab/src/lab_contract.rs
@@ -1,4 +1,4 @@
-//! The contract under which the lab's callers work.
+//! The customer contract of the load tools: request kinds, their deadlines and limits.
 
 use ragwort_types::AccessMode;
 use ragwort_types::CallerRule;
@@ -11,23 +11,23 @@
 use ragwort_types::UrgencyClass;
 use std::collections::BTreeMap;
 
-/// An urgent write that is never repeated.
+/// The kind of urgent writes that must not be repeated.
 pub const URGENT_KIND: &str = "urgent_issue";
-/// An ordinary write that is never repeated.
+/// The kind of ordinary writes that must not be repeated.
 pub const GRANT_KIND: &str = "grant";
-/// A write that may be repeated.
+/// The kind of idempotent writes.
 pub const UPDATE_KIND: &str = "update";
-/// A read that accepts data of some age.
+/// The kind of reads that accept data of [`STATUS_AGE_MS`].
 pub const STATUS_KIND: &str = "status";
-/// A read that accepts no age.
+/// The kind of reads that accept no stale data.
 pub const FRESH_KIND: &str = "fresh";
-/// A long read.
+/// The kind of long-running reads.
 pub const REPORT_KIND: &str = "report";
 
-/// The age that a status read accepts, in milliseconds.
+/// The maximum age of the data that a status read accepts, in milliseconds.
 pub const STATUS_AGE_MS: u64 = 2_000;
 
-/// Builds a customer's contract for the lab's kinds.
+/// Builds a customer's contract with all kinds above; [`GRANT_KIND`] is the default kind.
 pub fn build_contract(customer: CustomerName, groups: Vec<GroupName>) -> CustomerContract {
     let read = KindTerms {
         access: AccessMode::Read,
--- a/crates/lab/src/lab_look.rs
+++ b/crates/lab/src/lab_queries.rs
@@ -1,8 +1,11 @@
-//! What the lab sees of a set: statuses, the primary, whether a group is whole.
+//! Status queries of a [`LabSet`]: instances, the primary, and whether a group is whole.
+//!
+//! A group is whole when all its endpoints answer, hold the primary's log position, and are exactly the
+//! instances that the control catalog lists for the group.
 
-use crate::lab_set::LOOK_PATIENCE;
-use crate::lab_set::LOOK_PAUSE;
 use crate::lab_set::LabSet;
+use crate::lab_set::STATUS_POLL_INTERVAL;
+use crate::lab_set::STATUS_TIMEOUT;
 use crate::set_calls::SetFault;
 use crate::set_calls::ask_instance_status;
 use crate::set_calls::ask_node_status;
@@ -15,7 +18,7 @@
 use tokio::time::timeout;
 
 impl LabSet {
-    /// Returns the indices of a group's endpoints.
+    /// Returns the indices of the endpoints of a group.
     pub fn endpoints_of(&self, group: &str) -> Vec<usize> {
         let indices = 0..self.endpoints.len();
         indices
@@ -23,13 +26,14 @@
             .collect()
     }
 
-    /// Returns an endpoint's status, if it answers.
+    /// Returns the status of an endpoint, if it answers.
     pub async fn endpoint_status(&self, index: usize) -> Option<InstanceStatus> {
-        let look = ask_instance_status(self.endpoints[index].agent);
-        timeout(LOOK_PATIENCE, look).await.ok()?.ok()
+        let request = ask_instance_status(self.endpoints[index].agent);
+        timeout(STATUS_TIMEOUT, request).await.ok()?.ok()
     }
 
-    /// Returns the endpoint that is its group's primary of the highest term, if one answers.
+    /// Returns the index of the group's primary: of the endpoints that report to be the primary, the
+    /// one with the highest term. Returns `None` if none does.
     pub async fn find_primary(&self, group: &str) -> Option<usize> {
         let mut best = None;
         for index in self.endpoints_of(group) {
@@ -42,49 +46,49 @@
         best.map(|(_, index)| index)
     }
 
-    /// Returns a daemon's view of the system, if it answers.
+    /// Returns a daemon's view of the deployment, if it answers.
     pub async fn daemon_status(&self, index: usize) -> Option<NodeStatus> {
-        let look = ask_node_status(self.daemons[index].peers);
-        timeout(LOOK_PATIENCE, look).await.ok()?.ok()
+        let request = ask_node_status(self.daemons[index].peers);
+        timeout(STATUS_TIMEOUT, request).await.ok()?.ok()
     }
 
-    /// Waits until each instance of a group is counted, holds the primary's position and follows
-    /// its term.
+    /// Waits until a group is whole; see the [module](self).
     ///
     /// # Errors
     ///
-    /// Returns [`SetFault::NotWhole`] with what was seen last.
-    pub async fn wait_until_whole(&self, group: &str, patience: Duration) -> Result<(), SetFault> {
-        let end = Instant::now() + patience;
+    /// Returns [`SetFault::NotWhole`] with the last reason if the group isn't whole after `max_wait`.
+    pub async fn wait_until_whole(&self, group: &str, max_wait: Duration) -> Result<(), SetFault> {
+        let end = Instant::now() + max_wait;
         loop {
-            let seen = self.look_at_group(group).await;
+            let seen = self.check_group(group).await;
             match seen {
                 Ok(()) => return Ok(()),
                 Err(seen) if Instant::now() >= end => {
                     return Err(SetFault::NotWhole(seen));
                 }
-                Err(_) => sleep(LOOK_PAUSE).await,
+                Err(_) => sleep(STATUS_POLL_INTERVAL).await,
             }
         }
     }
 
-    async fn look_at_group(&self, group: &str) -> Result<(), String> {
+    /// Checks whether a group is whole; the error is the first reason why it isn't.
+    async fn check_group(&self, group: &str) -> Result<(), String> {
         let Some(primary) = self.find_primary(group).await else {
             return Err("no primary".to_owned());
         };
         let Some(wanted) = self.endpoint_status(primary).await else {
-            return Err("primary silent".to_owned());
+            return Err("primary does not answer".to_owned());
         };
         for index in self.endpoints_of(group) {
             let name = &self.endpoints[index].instance;
             match self.endpoint_status(index).await {
-                None => return Err(format!("{name} silent")),
+                None => return Err(format!("{name} does not answer")),
                 Some(status) if status.position.covers(wanted.position) => {}
                 Some(status) => return Err(format!("{name} at {}", status.position)),
             }
         }
         let Some(node) = self.daemon_status(0).await else {
-            return Err(format!("{} silent", self.daemons[0].vm));
+            return Err(format!("{} does not answer", self.daemons[0].vm));
         };
         let record = node
             .groups
@@ -97,13 +101,13 @@
             let name = self.endpoints[index].instance.as_str();
             let counted = record.instances.iter().any(|known| known.as_str() == name);
             if !counted {
-                return Err(format!("{name} not counted"));
+                return Err(format!("{name} not in the catalog"));
             }
         }
         match record.instances.len() == self.endpoints_of(group).len() {
             true => Ok(()),
             false => Err(format!(
-                "lost instances still counted: {:?}",
+                "lost instances still in the catalog: {:?}",
                 record.instances
             )),
         }
--- a/crates/lab/src/lab_rpc.rs
+++ b/crates/lab/src/lab_rpc.rs
@@ -1,4 +1,4 @@
-//! The lab's own calls on an agent's port, beside those of `ragwort_rpc`.
+//! RPC calls of an endpoint stand-in's agent, in addition to the agent API of `ragwort_rpc`.
 
 use crate::faults::FaultRequest;
 use crate::faults::FaultState;
@@ -8,18 +8,18 @@
 use jsonrpsee::core::RpcResult;
 use jsonrpsee::proc_macros::rpc;
 
-/// Replication, faults and inspection of a stand-in.
+/// Replication, fault injection and inspection of an endpoint stand-in.
 #[rpc(server, client, namespace = "lab")]
 pub trait LabApi {
-    /// Returns log entries to a follower.
+    /// Returns log entries to a follower; waits for new ones if there are none (long poll).
     #[method(name = "fetchLog")]
     async fn fetch_log(&self, request: FetchRequest) -> RpcResult<FetchReply>;
 
-    /// Begins or ends a fault.
+    /// Begins or ends a fault and returns the resulting state.
     #[method(name = "setFault")]
     async fn set_fault(&self, request: FaultRequest) -> RpcResult<FaultState>;
 
-    /// Returns the whole log, also while the endpoint is frozen.
+    /// Returns the whole log, even while the endpoint is frozen.
     #[method(name = "readLog")]
     async fn read_log(&self) -> RpcResult<Vec<LogEntry>>;
 }
--- a/crates/lab/src/lab_set.rs
+++ b/crates/lab/src/lab_set.rs
@@ -1,4 +1,5 @@
-//! A whole set of processes: daemons, and endpoints behind relays.
+//! A deployment as a set of local processes: daemons, and endpoints behind relays that inject network
+//! faults and delays.
 
 use crate::faults::FaultRequest;
 use crate::lab_contract::build_contract;
@@ -24,42 +25,42 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
-/// How long one look at an agent or daemon may take.
-pub(crate) const LOOK_PATIENCE: Duration = Duration::from_millis(500);
+/// The timeout of a status request to an agent or a daemon.
+pub(crate) const STATUS_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The pause between looks.
-pub(crate) const LOOK_PAUSE: Duration = Duration::from_millis(20);
+/// The interval at which the set's status is polled.
+pub(crate) const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long a process may take to end after SIGTERM.
-const END_PATIENCE: Duration = Duration::from_secs(20);
+/// The timeout for a process to end after SIGTERM.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What to start.
+/// The settings of a set.
 #[derive(Clone, Debug)]
 pub struct SetSettings {
-    /// The site.
+    /// The size of the site to start.
     pub size: SiteSize,
-    /// How many of the site's groups to start.
+    /// The number of the site's groups to start.
     pub groups: usize,
-    /// The folder of the binaries `ragwortgated`, `ragwortctl` and `ragwort-lab`.
+    /// The folder with the binaries `ragwortgated`, `ragwortctl` and `ragwort-lab`.
     pub binaries: PathBuf,
-    /// Keep the folder with logs when the set is dropped.
+    /// Whether to keep the folder with logs when the set is dropped.
     pub keep_folder: bool,
 }
 
 /// A daemon of the set.
 #[derive(Debug)]
 pub struct DaemonNode {
-    /// The VM's name.
+    /// The name of the VM.
     pub vm: String,
-    /// Where callers connect.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// Where other VMs and operators connect.
+    /// The address for other VMs and operators.
     pub peers: SocketAddr,
-    /// Where the platform asks.
+    /// The address of the platform port, which serves readiness and metrics.
     pub platform: SocketAddr,
-    /// Where it takes statements from other VMs.
+    /// The address for statements from other VMs.
     pub statements: SocketAddr,
-    /// Where the agreed log lies, on a control VM.
+    /// The folder of the replicated control log, on a control VM.
     pub data_folder: Option<PathBuf>,
     settings_file: PathBuf,
     child: Option<ChildProcess>,
@@ -68,11 +69,11 @@
 /// An endpoint of the set, behind two relays.
 #[derive(Debug)]
 pub struct EndpointNode {
-    /// The group.
+    /// The name of the group.
     pub group: String,
-    /// The instance's present name; a restarted instance has lost its data and is a new one.
+    /// The name of the present instance; a restart loses all data and creates a new instance.
     pub instance: String,
-    /// The agent's true address, for the lab only.
+    /// The agent's own address, which bypasses the relay.
     pub agent: SocketAddr,
     domain: &'static str,
     data: SocketAddr,
@@ -94,8 +95,8 @@
 }
 
 impl LabSet {
-    /// Starts daemons and endpoints, forms control, applies the contract and waits until every
-    /// gateway is ready.
+    /// Starts daemons and endpoints, forms the control group, waits until all daemons are ready, and
+    /// applies the customer's contract.
     ///
     /// # Errors
     ///
@@ -112,7 +113,7 @@
         Ok(set)
     }
 
-    /// Starts daemons and endpoints only.
+    /// Starts daemons and endpoints without forming control or applying a contract.
     ///
     /// # Errors
     ///
@@ -124,7 +125,7 @@
             daemons: Vec::new(),
             endpoints: Vec::new(),
         };
-        set.lay_out_daemons()?;
+        set.prepare_daemons()?;
         for index in 0..set.daemons.len() {
             set.start_daemon(index)?;
         }
@@ -136,48 +137,48 @@
         Ok(set)
     }
 
-    /// Returns the site.
+    /// Returns the size of the site.
     pub fn size(&self) -> &SiteSize {
         &self.settings.size
     }
 
-    /// Returns the folder of logs, settings and data.
+    /// Returns the folder with logs, settings and data.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// Returns the groups that were started.
+    /// Returns the names of the groups that were started.
     pub fn group_names(&self) -> Vec<&'static str> {
         let groups = &self.settings.size.groups;
         groups.iter().copied().take(self.settings.groups).collect()
     }
 
-    /// Returns where callers connect.
+    /// Returns the daemons' addresses for callers.
     pub fn gateways(&self) -> Vec<SocketAddr> {
         self.daemons.iter().map(|daemon| daemon.callers).collect()
     }
 
-    /// Forms the control VMs' first voter set.
+    /// Forms the initial voter set of the control VMs.
     ///
     /// # Errors
     ///
-    /// Returns [`SetFault::Refused`] if it isn't formed in time.
+    /// Returns [`SetFault::Refused`] if it isn't formed within 20 s.
     pub async fn form(&mut self) -> Result<(), SetFault> {
         form_control(self.daemons[0].peers, Duration::from_secs(20)).await
     }
 
-    /// Waits until every running daemon is ready.
+    /// Waits until all running daemons are ready.
     ///
     /// # Errors
     ///
-    /// Returns [`SetFault::NotReady`] with the VMs that aren't after `patience`.
-    pub async fn wait_until_ready(&mut self, patience: Duration) -> Result<(), SetFault> {
-        let end = Instant::now() + patience;
+    /// Returns [`SetFault::NotReady`] with the VMs that aren't ready after `max_wait`.
+    pub async fn wait_until_ready(&mut self, max_wait: Duration) -> Result<(), SetFault> {
+        let end = Instant::now() + max_wait;
         loop {
             let mut waiting = Vec::new();
             for daemon in self.daemons.iter().filter(|daemon| daemon.child.is_some()) {
                 if !matches!(
-                    timeout(LOOK_PATIENCE, is_ready(daemon.platform)).await,
+                    timeout(STATUS_TIMEOUT, is_ready(daemon.platform)).await,
                     Ok(true)
                 ) {
                     waiting.push(daemon.vm.clone());
@@ -189,11 +190,11 @@
             if Instant::now() >= end {
                 return Err(SetFault::NotReady(waiting));
             }
-            sleep(LOOK_PAUSE).await;
+            sleep(STATUS_POLL_INTERVAL).await;
         }
     }
 
-    /// Starts a daemon that doesn't run.
+    /// Starts a daemon that isn't running.
     ///
     /// # Errors
     ///
@@ -208,22 +209,22 @@
         Ok(())
     }
 
-    /// Returns a daemon's process, if it runs.
+    /// Returns the process of a daemon, unless it was killed.
     pub fn daemon_child(&mut self, index: usize) -> Option<&mut ChildProcess> {
         self.daemons[index].child.as_mut()
     }
 
-    /// Kills a daemon.
+    /// Kills a daemon's process.
     pub fn kill_daemon(&mut self, index: usize) {
         self.daemons[index].child = None;
     }
 
-    /// Deletes a control VM's data folder; its daemon must not run.
+    /// Deletes the data folder of a control VM, whose daemon must not be running.
     ///
     /// # Errors
     ///
     /// Returns [`SetFault::Io`] if the folder can't be deleted.
-    pub fn lose_data(&mut self, index: usize) -> Result<(), SetFault> {
+    pub fn delete_data(&mut self, index: usize) -> Result<(), SetFault> {
         let daemon = &self.daemons[index];
         if let Some(folder) = &daemon.data_folder
             && folder.exists()
@@ -233,21 +234,22 @@
         Ok(())
     }
 
-    /// Returns an endpoint's process, if it runs.
+    /// Returns the process of an endpoint, unless it was killed.
     pub fn endpoint_child(&mut self, index: usize) -> Option<&mut ChildProcess> {
         self.endpoints[index].child.as_mut()
     }
 
-    /// Kills an endpoint. What it held is lost, as its data is in memory.
+    /// Kills an endpoint's process, which loses its data, as the data is in memory only.
     pub fn kill_endpoint(&mut self, index: usize) {
         self.endpoints[index].child = None;
     }
 
-    /// Starts an empty instance under a new name in place of one that was killed.
+    /// Starts an empty instance under a new name and with new addresses in place of an endpoint's
+    /// present one, which is killed if it is still running.
     ///
     /// # Errors
     ///
-    /// Returns [`SetFault::Io`] if the process can't be started.
+    /// Returns [`SetFault::Io`] if the process or a relay can't be started.
     pub async fn replace_endpoint(&mut self, index: usize) -> Result<(), SetFault> {
         let delay = self.settings.size.domain_delay();
         let node = &mut self.endpoints[index];
@@ -266,7 +268,8 @@
         self.start_endpoint(index, false)
     }
 
-    /// Cuts an endpoint off from everybody, or joins it again. It goes on by itself meanwhile.
+    /// Partitions an endpoint from all other processes, or ends the partition. The endpoint's process
+    /// keeps running meanwhile.
     pub async fn set_cut(&mut self, index: usize, cut: bool) {
         let node = &self.endpoints[index];
         let mode = match cut {
@@ -278,24 +281,25 @@
         self.set_fault(index, FaultRequest::Isolate(cut)).await;
     }
 
-    /// Makes the endpoint's open connections silent for good; new ones work.
+    /// Silences the connections to an endpoint that are open now; see
+    /// [`CutRelay::forget_connections`].
     pub fn forget_connections(&self, index: usize) {
         self.endpoints[index].data_relay.forget_connections();
         self.endpoints[index].agent_relay.forget_connections();
     }
 
-    /// Asks an endpoint for a fault; one that doesn't run has worse ones.
+    /// Requests a fault from an endpoint. A failure is ignored, as the endpoint may not be running.
     pub async fn set_fault(&self, index: usize, fault: FaultRequest) {
         if let Ok(client) = agent_client(self.endpoints[index].agent) {
-            let _ = timeout(LOOK_PATIENCE, client.set_fault(fault)).await;
+            let _ = timeout(STATUS_TIMEOUT, client.set_fault(fault)).await;
         }
     }
 
-    /// Ends every process in good order.
+    /// Shuts all processes down gracefully.
     ///
     /// # Errors
     ///
-    /// Returns [`SetFault::BadEnd`] with the processes that didn't exit with 0 in time.
+    /// Returns [`SetFault::BadEnd`] with the processes that didn't exit with status 0 in time.
     pub async fn stop(mut self) -> Result<(), SetFault> {
         let daemons = self.daemons.iter_mut().map(|daemon| &mut daemon.child);
         let endpoints = self.endpoints.iter_mut().map(|node| &mut node.child);
@@ -303,14 +307,14 @@
         let mut children: Vec<ChildProcess> =
             daemons.chain(endpoints).filter_map(Option::take).collect();
         for child in &mut children {
-            // A frozen process would hold its SIGTERM back.
+            // A stopped process would not handle SIGTERM.
             let _ = child.thaw();
             if let Err(error) = child.terminate() {
                 faults.push(format!("{}: {error}", child.name()));
             }
         }
         for child in &mut children {
-            match child.wait_for_end(END_PATIENCE).await? {
+            match child.wait_for_end(EXIT_TIMEOUT).await? {
                 Some(status) if status.success() => {}
                 Some(status) => faults.push(format!("{}: {status}", child.name())),
                 None => faults.push(format!("{}: still running", child.name())),
@@ -322,7 +326,8 @@
         }
     }
 
-    fn lay_out_daemons(&mut self) -> Result<(), SetFault> {
+    /// Assigns addresses to the daemons and writes their settings files; control VMs come first.
+    fn prepare_daemons(&mut self) -> Result<(), SetFault> {
         let size = &self.settings.size;
         for number in 0..size.vms {
             let vm = format!("vm-{}", number + 1);
@@ -345,6 +350,7 @@
         Ok(())
     }
 
+    /// Returns the text of a daemon's settings file.
     fn write_settings(&self, daemon: &DaemonNode, domain: &str) -> String {
         let control = daemon.data_folder.is_some();
         let mut text = format!(
@@ -419,10 +425,10 @@
     fn drop(&mut self) {
         self.daemons.clear();
         self.endpoints.clear();
-        // The logs of a failed test say why it failed.
+        // The logs of a failed test are kept for diagnosis.
         let failed = std::thread::panicking();
         if !self.settings.keep_folder && !failed {
-            // The folder may be gone already; what is left of it harms nobody.
+            // A failure is ignored: it leaves only temporary files behind.
             let _ = fs::remove_dir_all(&self.folder);
         }
     }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,11 +1,11 @@
-//! The lab of ragwortgate: an endpoint stand-in, a load tool with an oracle, and helpers that start
-//! whole sets of processes.
+//! Test bench of ragwortgate: an in-memory database endpoint, a load generator that checks the
+//! consistency of answers, and helpers that start whole deployments as local processes.
 //!
-//! Nothing here is part of the system: the daemon doesn't depend on this crate.
+//! The crate is for tests and measurements only; the daemon doesn't depend on it.
 //!
 //! # Examples
 //!
-//! A stand-in runs in the caller's process as well as on its own:
+//! The state of an instance can be used without its network ports:
 //!
 //! ```
 //! use ragwort_lab::instance::InstanceCore;
@@ -31,7 +31,7 @@
 pub mod instance;
 pub mod instance_task;
 pub mod lab_contract;
-pub mod lab_look;
+pub mod lab_queries;
 pub mod lab_rpc;
 pub mod lab_set;
 pub mod load;
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,7 +1,9 @@
-//! The load tool: callers with sessions that move between gateways, at a rate that doesn't wait.
+//! An open-loop load generator: sessions send requests at scheduled times, move between gateways, and
+//! report what they were answered to the consistency check of [`crate::oracle`].
 //!
-//! Latency counts from the moment at which the schedule wanted the request to start, so that a
-//! system which makes its callers wait can't hide it by slowing them down.
+//! Latency is measured from a request's scheduled start, not from the time at which it was sent. A
+//! system that delays its callers would otherwise look faster because fewer requests are sent
+//! (coordinated omission).
 
 use crate::caller::CallerSettings;
 use crate::caller::CallerVerdict;
@@ -35,54 +37,55 @@
 use tokio::time::sleep;
 use tokio::time::sleep_until;
 
-/// How long past its deadline a caller waits for a verdict before it counts as unanswered.
-const GRACE: Duration = Duration::from_secs(2);
+/// The time after a request's deadline at which it counts as unanswered.
+const VERDICT_GRACE_PERIOD: Duration = Duration::from_secs(2);
 
-/// The pause before a request that may have run is sent again under its key.
+/// The pause before a request that may have run is sent again with the same request key.
 const RESEND_PAUSE: Duration = Duration::from_millis(200);
 
-/// The pause between attempts of the final check.
-const CHECK_PAUSE: Duration = Duration::from_millis(100);
+/// The pause after a failed read of the final check.
+const FINAL_CHECK_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// How long the final check may take; a run in which it ends sooner has read every list.
-const CHECK_PATIENCE: Duration = Duration::from_secs(60);
+/// The time limit of the final check. Lists that can't be read within it are reported.
+const FINAL_CHECK_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The time after which the lists in use are replaced, so that none grows without bound.
+/// The time after which sessions use new lists, which bounds the length of a list.
 const LIST_LIFETIME: Duration = Duration::from_secs(10);
 
-/// How long a `report` statement holds its slot, in milliseconds.
+/// The time for which a statement of the class `report` occupies a slot, in milliseconds.
 const REPORT_MS: u64 = 400;
 
-/// What a load run does.
+/// The settings of a load run.
 #[derive(Clone, Debug)]
 pub struct LoadSettings {
-    /// The gateways, or the data port of one endpoint.
+    /// The addresses of the gateways, or of the data port of one endpoint.
     pub gateways: Vec<SocketAddr>,
-    /// The database group.
+    /// The name of the database group.
     pub group: String,
-    /// The customers' names.
+    /// The names of the customers.
     pub customers: Vec<String>,
-    /// What is sent when; `customers` is set from the names.
+    /// The schedule of requests; its number of customers is replaced by the number of names.
     pub plan: PlanSettings,
-    /// Sessions per customer.
+    /// The number of sessions of each customer.
     pub sessions: usize,
-    /// After so many requests a session moves to another gateway.
+    /// The number of requests after which a session moves to another gateway.
     pub move_every: u64,
-    /// A word that makes this run's keys and sessions unlike those of others.
+    /// A prefix that distinguishes this run's keys and session names from those of other runs.
     pub run_name: String,
 }
 
+/// An event that a session sends to the collector.
 enum LoadEvent {
     Oracle(OracleEvent),
     Request(RequestRecord),
 }
 
-/// Stops a load early: no further arrivals are sent.
+/// A flag that ends a load run early: no further requests are scheduled once it is set.
 #[derive(Clone, Debug, Default)]
 pub struct StopFlag(Arc<AtomicBool>);
 
 impl StopFlag {
-    /// Asks the load to stop.
+    /// Requests the end of the run.
     pub fn set(&self) {
         self.0.store(true, Ordering::Relaxed);
     }
@@ -92,18 +95,18 @@
     }
 }
 
-/// Runs a load to its end, checks what is there then, and reports.
+/// Runs a load, checks the final content of all lists, and returns the report.
 pub async fn run_load(settings: &LoadSettings, stop: &StopFlag) -> LoadReport {
     let (events, receiver) = mpsc::unbounded_channel();
     let collector = tokio::spawn(collect_events(receiver));
-    let clock = Instant::now();
+    let load_start = Instant::now();
     let mut sessions = JoinSet::new();
     let mut queues = Vec::new();
     for customer in &settings.customers {
         let (queue, arrivals) = mpsc::unbounded_channel();
         let arrivals = Arc::new(Mutex::new(arrivals));
         for index in 0..settings.sessions {
-            let session = LoadSession::new(settings, customer, index, clock, events.clone());
+            let session = LoadSession::new(settings, customer, index, load_start, events.clone());
             sessions.spawn(session.run(arrivals.clone()));
         }
         queues.push(queue);
@@ -113,11 +116,11 @@
         ..settings.plan.clone()
     };
     for arrival in plan_arrivals(&plan) {
-        sleep_until(clock + arrival.at).await;
+        sleep_until(load_start + arrival.at).await;
         if stop.is_set() {
             break;
         }
-        // The sessions live until their queue is closed.
+        // Sending can't fail: the sessions run until their queue is closed.
         let _ = queues[arrival.customer].send(arrival);
     }
     drop(queues);
@@ -130,6 +133,7 @@
     finish_report(settings, &recorder, oracle).await
 }
 
+/// Collects the sessions' events until the last session has ended.
 async fn collect_events(
     mut events: mpsc::UnboundedReceiver<LoadEvent>,
 ) -> (LoadRecorder, LoadOracle) {
@@ -144,6 +148,7 @@
     (recorder, oracle)
 }
 
+/// Reads all lists, completes the consistency check, and adds its results to the report.
 async fn finish_report(
     settings: &LoadSettings,
     recorder: &LoadRecorder,
@@ -166,18 +171,19 @@
         .map(ToString::to_string)
         .collect();
     if unread > 0 {
-        let fault = format!("{unread} lists could not be read at the end, so nothing is proved");
+        let fault = format!("{unread} lists could not be read at the end of the run");
         report.violations.push(fault);
     }
     report
 }
 
-/// Reads each list by a read that accepts no age; `None` stands for a list that wasn't answered.
+/// Reads each list by a read that accepts no stale data. The outer `None` stands for a list that could
+/// not be read, the inner one for a list without a value.
 async fn read_final_lists(
     settings: &LoadSettings,
     lists: Vec<String>,
 ) -> Vec<(String, Option<Option<String>>)> {
-    let end = Instant::now() + CHECK_PATIENCE;
+    let end = Instant::now() + FINAL_CHECK_TIMEOUT;
     let mut answers = Vec::new();
     let mut caller = None;
     let mut attempt = 0;
@@ -195,12 +201,13 @@
                 group: settings.group.clone(),
                 session: format!("{}-check", settings.run_name),
             };
-            match run_on(&mut caller, &settings, &statement, CHECK_PATIENCE / 10).await {
+            match run_statement(&mut caller, &settings, &statement, FINAL_CHECK_TIMEOUT / 10).await
+            {
                 CallerVerdict::Ran { rows, .. } => answer = Some(first_value(rows)),
                 _ => {
                     attempt += 1;
                     caller = None;
-                    sleep(CHECK_PAUSE).await;
+                    sleep(FINAL_CHECK_RETRY_PAUSE).await;
                 }
             }
         }
@@ -209,12 +216,13 @@
     answers
 }
 
-/// Runs a statement, opening the connection if there is none.
-async fn run_on(
+/// Runs a statement, after opening a connection if there is none, and drops the connection if there was
+/// no answer.
+async fn run_statement(
     caller: &mut Option<GatewayCaller>,
     settings: &CallerSettings,
     statement: &str,
-    patience: Duration,
+    max_wait: Duration,
 ) -> CallerVerdict {
     if caller.as_ref().is_none_or(GatewayCaller::is_closed) {
         match GatewayCaller::open(settings).await {
@@ -225,7 +233,7 @@
     let Some(open) = caller.as_mut() else {
         return CallerVerdict::Unanswered;
     };
-    let verdict = open.run(statement, patience).await;
+    let verdict = open.run(statement, max_wait).await;
     if verdict == CallerVerdict::Unanswered {
         *caller = None;
     }
@@ -236,20 +244,24 @@
     rows.into_iter().next()?.into_iter().next()?
 }
 
-/// One session of a customer: a caller that sends one request at a time.
+/// A session of a customer, which sends one request at a time.
 struct LoadSession {
     settings: CallerSettings,
     gateways: Vec<SocketAddr>,
+    /// The index of the gateway in use.
     gateway: usize,
     move_every: u64,
     run_name: String,
-    clock: Instant,
+    load_start: Instant,
     events: mpsc::UnboundedSender<LoadEvent>,
     caller: Option<GatewayCaller>,
-    requests: u64,
-    tokens: u64,
-    cell: u64,
-    puts: usize,
+    request_count: u64,
+    token_count: u64,
+    /// The number of the session's present cell. A cell whose last put may still take effect is
+    /// replaced by the next one.
+    cell_number: u64,
+    /// The number of puts to the present cell.
+    put_count: usize,
 }
 
 impl LoadSession {
@@ -257,7 +269,7 @@
         settings: &LoadSettings,
         customer: &str,
         index: usize,
-        clock: Instant,
+        load_start: Instant,
         events: mpsc::UnboundedSender<LoadEvent>,
     ) -> Self {
         let gateway = index % settings.gateways.len();
@@ -272,13 +284,13 @@
             gateway,
             move_every: settings.move_every.max(1),
             run_name: settings.run_name.clone(),
-            clock,
+            load_start,
             events,
             caller: None,
-            requests: 0,
-            tokens: 0,
-            cell: 0,
-            puts: 0,
+            request_count: 0,
+            token_count: 0,
+            cell_number: 0,
+            put_count: 0,
         }
     }
 
@@ -287,14 +299,14 @@
             let arrival = arrivals.lock().await.recv().await;
             let Some(arrival) = arrival else { return };
             let verdict = self.serve(&arrival).await;
-            self.tell(LoadEvent::Request(RequestRecord {
+            self.send_event(LoadEvent::Request(RequestRecord {
                 class: arrival.class,
-                latency: self.clock.elapsed().saturating_sub(arrival.at),
+                latency: self.load_start.elapsed().saturating_sub(arrival.at),
                 verdict,
             }));
-            self.requests += 1;
-            if self.requests.is_multiple_of(self.move_every) || self.has_lost_gateway() {
-                self.move_on();
+            self.request_count += 1;
+            if self.request_count.is_multiple_of(self.move_every) || self.has_lost_gateway() {
+                self.switch_gateway();
             }
         }
     }
@@ -314,32 +326,33 @@
     }
 
     async fn append(&mut self, arrival: &LoadArrival) -> CallerVerdict {
-        self.tokens += 1;
+        self.token_count += 1;
         let token = ListToken {
             list: self.list_name(arrival),
             session: self.settings.session.clone(),
-            number: self.tokens,
+            number: self.token_count,
         };
         let marks = StatementMarks {
             key: Some(RequestKey::fresh().to_string()),
             ..marks_of(arrival.class)
         };
         let statement = format!("{marks} append {} {token}", token.list);
-        self.tell(LoadEvent::Oracle(OracleEvent::StartAppend(token.clone())));
+        self.send_event(LoadEvent::Oracle(OracleEvent::StartAppend(token.clone())));
         let verdict = self.send(arrival.class, &statement).await;
         let mut outcome = self.to_outcome(&verdict);
         if outcome == WriteOutcome::MayHaveRun {
             outcome = self.resend(arrival.class, &statement).await;
         }
-        self.tell(LoadEvent::Oracle(OracleEvent::EndAppend(token, outcome)));
+        self.send_event(LoadEvent::Oracle(OracleEvent::EndAppend(token, outcome)));
         verdict
     }
 
-    /// Sends a request again under its key. Only an acknowledgement settles the doubt: a refusal
-    /// of the resend says nothing about the first attempt.
+    /// Sends a request again with the same request key, through another gateway. Only an
+    /// acknowledgement makes the outcome certain: a rejection of the second attempt says nothing about
+    /// the first one.
     async fn resend(&mut self, class: LoadClass, statement: &str) -> WriteOutcome {
         sleep(RESEND_PAUSE).await;
-        self.move_on();
+        self.switch_gateway();
         let verdict = self.send(class, statement).await;
         match self.to_outcome(&verdict) {
             WriteOutcome::Acknowledged(at) => WriteOutcome::Acknowledged(at),
@@ -349,16 +362,16 @@
 
     async fn put(&mut self, arrival: &LoadArrival) -> CallerVerdict {
         let key = self.cell_name();
-        self.puts += 1;
-        let value = cell_value(&key, self.puts);
+        self.put_count += 1;
+        let value = cell_value(&key, self.put_count);
         let statement = format!("{} put {key} {value}", marks_of(arrival.class));
-        self.tell(LoadEvent::Oracle(OracleEvent::StartPut(key.clone())));
+        self.send_event(LoadEvent::Oracle(OracleEvent::StartPut(key.clone())));
         let verdict = self.send(arrival.class, &statement).await;
         let outcome = self.to_outcome(&verdict);
-        self.tell(LoadEvent::Oracle(OracleEvent::EndPut(key, outcome)));
+        self.send_event(LoadEvent::Oracle(OracleEvent::EndPut(key, outcome)));
         if outcome == WriteOutcome::MayHaveRun {
-            self.cell += 1;
-            self.puts = 0;
+            self.cell_number += 1;
+            self.put_count = 0;
         }
         verdict
     }
@@ -369,7 +382,7 @@
         let verdict = self.send(arrival.class, &statement).await;
         if let CallerVerdict::Ran { rows, .. } = &verdict {
             let answer = first_value(rows.clone());
-            self.tell(LoadEvent::Oracle(OracleEvent::ReadCell(key, answer)));
+            self.send_event(LoadEvent::Oracle(OracleEvent::ReadCell(key, answer)));
         }
         verdict
     }
@@ -380,7 +393,7 @@
         let start_us = self.now_us();
         let verdict = self.send(arrival.class, &statement).await;
         if let CallerVerdict::Ran { rows, .. } = &verdict {
-            self.tell(LoadEvent::Oracle(OracleEvent::ReadList(ListRead {
+            self.send_event(LoadEvent::Oracle(OracleEvent::ReadList(ListRead {
                 list,
                 session: self.settings.session.clone(),
                 start_us,
@@ -392,8 +405,8 @@
     }
 
     async fn send(&mut self, class: LoadClass, statement: &str) -> CallerVerdict {
-        let patience = class.deadline() + GRACE;
-        run_on(&mut self.caller, &self.settings, statement, patience).await
+        let max_wait = class.deadline() + VERDICT_GRACE_PERIOD;
+        run_statement(&mut self.caller, &self.settings, statement, max_wait).await
     }
 
     fn to_outcome(&self, verdict: &CallerVerdict) -> WriteOutcome {
@@ -403,7 +416,7 @@
             CallerVerdict::MayHaveRun { .. } | CallerVerdict::Unanswered => {
                 WriteOutcome::MayHaveRun
             }
-            // The stand-in's own errors leave nothing behind.
+            // A statement that failed at the endpoint had no effect.
             CallerVerdict::Failed { .. } => WriteOutcome::NotRun,
         }
     }
@@ -412,14 +425,14 @@
         self.caller.as_ref().is_none_or(GatewayCaller::is_closed)
     }
 
-    fn move_on(&mut self) {
+    fn switch_gateway(&mut self) {
         self.gateway = (self.gateway + 1) % self.gateways.len();
         self.settings.gateway = self.gateways[self.gateway];
         self.caller = None;
     }
 
     fn cell_name(&self) -> String {
-        format!("{}-cell-{}", self.settings.session, self.cell)
+        format!("{}-cell-{}", self.settings.session, self.cell_number)
     }
 
     fn list_name(&self, arrival: &LoadArrival) -> String {
@@ -428,15 +441,16 @@
     }
 
     fn now_us(&self) -> u64 {
-        self.clock.elapsed().as_micros() as u64
+        self.load_start.elapsed().as_micros() as u64
     }
 
-    fn tell(&self, event: LoadEvent) {
-        // The collector ends after the last session.
+    fn send_event(&self, event: LoadEvent) {
+        // Sending can't fail: the collector runs until the last session has ended.
         let _ = self.events.send(event);
     }
 }
 
+/// Returns the marks of a class's requests.
 fn marks_of(class: LoadClass) -> StatementMarks {
     StatementMarks {
         kind: Some(class.kind()),
--- a/crates/lab/src/load_plan.rs
+++ b/crates/lab/src/load_plan.rs
@@ -1,4 +1,6 @@
-//! What the load tool sends and when: an open-loop schedule drawn from a seed.
+//! The schedule of a load run: request classes and arrival times, drawn from a seeded generator.
+//!
+//! Arrivals are a Poisson process, independent of answers (open loop).
 
 use crate::lab_contract::FRESH_KIND;
 use crate::lab_contract::GRANT_KIND;
@@ -14,23 +16,24 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// A class of requests.
+/// A class of requests, which determines the statement, the contract's kind and the deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LoadClass {
-    /// An urgent write that is never repeated: appends to a list.
+    /// An urgent append to a list, which must not be repeated.
     Urgent,
-    /// An ordinary write that is never repeated: appends to a list.
+    /// An ordinary append to a list, which must not be repeated.
     Grant,
-    /// A write that may be repeated: puts the session's own cell.
+    /// A put to the session's own cell, which is idempotent.
     Update,
-    /// A read of a list that accepts data of some age.
+    /// A read of a list that accepts stale data up to the contract's age.
     Status,
-    /// A read of a list that accepts no age.
+    /// A read of a list that accepts no stale data.
     Fresh,
-    /// A session's read of its own cell, of any age but its own writes.
+    /// A read of the session's own cell, which must return at least the session's last
+    /// acknowledged write.
     Own,
-    /// A long read.
+    /// A long-running read.
     Report,
 }
 
@@ -46,7 +49,7 @@
         Self::Report,
     ];
 
-    /// Returns the class's name in a mix.
+    /// Returns the name of the class in a mix.
     pub fn name(self) -> &'static str {
         match self {
             Self::Urgent => "urgent",
@@ -59,7 +62,7 @@
         }
     }
 
-    /// Returns the contract's kind for the class.
+    /// Returns the contract's kind under which the class is sent.
     pub fn kind(self) -> &'static str {
         match self {
             Self::Urgent => URGENT_KIND,
@@ -71,7 +74,7 @@
         }
     }
 
-    /// Returns the time in which the caller needs its answer; the contract says the same.
+    /// Returns the deadline of the class's requests, which equals the contract's.
     pub fn deadline(self) -> Duration {
         match self {
             Self::Urgent => Duration::from_millis(500),
@@ -80,7 +83,7 @@
         }
     }
 
-    /// Returns whether the class only reads.
+    /// Returns whether the class consists of reads.
     pub fn is_read(self) -> bool {
         match self {
             Self::Urgent | Self::Grant | Self::Update => false,
@@ -89,13 +92,13 @@
     }
 }
 
-/// How often each class occurs, relative to the others.
+/// The relative frequencies of the classes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadMix {
     weights: Vec<(LoadClass, u32)>,
 }
 
-/// A mix that can't be read.
+/// An error in the text of a mix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MixFault {
     /// A part isn't of the form `class=weight`.
@@ -117,7 +120,8 @@
 }
 
 impl Default for LoadMix {
-    /// Returns many reads, some writes, few urgent ones, as in the users' workloads.
+    /// Returns a mix of 70 % reads, 27 % ordinary writes and 3 % urgent writes, similar to the users'
+    /// workloads.
     fn default() -> Self {
         Self {
             weights: vec![
@@ -169,39 +173,40 @@
     }
 }
 
-/// One request of the schedule.
+/// A scheduled request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadArrival {
-    /// The intended start, from the start of the load.
+    /// The scheduled start, as the time since the start of the load.
     pub at: Duration,
     /// The class.
     pub class: LoadClass,
-    /// The customer's index.
+    /// The index of the customer.
     pub customer: usize,
-    /// Which of the lists in use it is for.
+    /// The index of the list that a list request uses.
     pub list: usize,
 }
 
-/// What the schedule is drawn from.
+/// The parameters of a schedule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlanSettings {
-    /// The seed.
+    /// The seed of the random generator.
     pub seed: u64,
-    /// Requests per second.
+    /// The mean number of requests per second.
     pub rate: f64,
-    /// How long the load lasts.
+    /// The duration of the load.
     pub duration: Duration,
     /// The number of customers.
     pub customers: usize,
-    /// How many times more requests the first customer sends than any other.
+    /// The ratio between the first customer's request rate and that of any other customer.
     pub hot_factor: u32,
     /// The number of lists in use at a time.
     pub lists: usize,
-    /// The mix.
+    /// The mix of request classes.
     pub mix: LoadMix,
 }
 
-/// Draws the schedule: arrivals don't wait for answers (exponential gaps).
+/// Returns the schedule's requests in order of time. The intervals are exponentially distributed, and
+/// the same settings give the same schedule.
 pub fn plan_arrivals(settings: &PlanSettings) -> impl Iterator<Item = LoadArrival> {
     let mut random = StdRng::seed_from_u64(settings.seed);
     let settings = settings.clone();
@@ -219,8 +224,9 @@
     })
 }
 
+/// Draws a customer, the first one `hot_factor` times as often as any other.
 fn pick_customer(settings: &PlanSettings, random: &mut StdRng) -> usize {
-    let hot = settings.hot_factor.max(1) as usize;
-    let draw = random.random_range(0..settings.customers + hot - 1);
-    draw.saturating_sub(hot - 1)
+    let first_weight = settings.hot_factor.max(1) as usize;
+    let draw = random.random_range(0..settings.customers + first_weight - 1);
+    draw.saturating_sub(first_weight - 1)
 }
--- a/crates/lab/src/load_report.rs
+++ b/crates/lab/src/load_report.rs
@@ -1,4 +1,4 @@
-//! What a load run has shown, judged by what callers received.
+//! The report of a load run: outcome counts and latencies for each class, as callers observed them.
 
 use crate::caller::CallerVerdict;
 use crate::load_plan::LoadClass;
@@ -8,21 +8,21 @@
 use std::fmt;
 use std::time::Duration;
 
-/// The longest latency that is told apart, in microseconds.
-const LONGEST_LATENCY_US: u64 = 120_000_000;
+/// The upper bound of the latency histograms, in microseconds; longer latencies count as this value.
+const MAX_LATENCY_US: u64 = 120_000_000;
 
-/// The outcome of one request.
+/// The outcome of a request.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
     /// The class.
     pub class: LoadClass,
-    /// The time from the intended start to the verdict.
+    /// The time from the scheduled start to the verdict.
     pub latency: Duration,
     /// The verdict.
     pub verdict: CallerVerdict,
 }
 
-/// Gathers outcomes.
+/// Accumulates the outcomes of requests.
 #[derive(Clone, Debug)]
 pub struct LoadRecorder {
     classes: BTreeMap<LoadClass, ClassRecorder>,
@@ -36,74 +36,76 @@
     refused: Histogram<u64>,
 }
 
-/// How often each outcome occurred.
+/// The numbers of requests of a class, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ClassCounts {
-    /// Requests sent.
+    /// All requests.
     pub sent: u64,
-    /// Ran and answered within the deadline.
+    /// Requests that ran and were answered within the deadline.
     pub in_time: u64,
-    /// Ran and answered after the deadline.
+    /// Requests that ran and were answered after the deadline.
     pub late: u64,
-    /// Answered "not run".
+    /// Requests that were answered "not run".
     pub refused: u64,
-    /// Answered "may have run".
+    /// Requests that were answered "may have run".
     pub maybe_run: u64,
-    /// The database's own error.
+    /// Requests that failed with an error of the database.
     pub failed: u64,
-    /// Not answered at all.
+    /// Requests without an answer.
     pub unanswered: u64,
-    /// Served by a replica.
+    /// Requests that a replica served.
     pub by_replica: u64,
-    /// Served by the primary.
+    /// Requests that the primary served.
     pub by_primary: u64,
 }
 
-/// The quantiles of a latency, in microseconds from the intended start.
+/// Quantiles of a latency, in microseconds since the scheduled start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct LatencyQuantiles {
-    /// Half of the requests took no longer.
+    /// The median.
     pub p50_us: u64,
-    /// Nine in ten took no longer.
+    /// The 90th percentile.
     pub p90_us: u64,
-    /// 99 in 100 took no longer.
+    /// The 99th percentile.
     pub p99_us: u64,
-    /// The longest.
+    /// The maximum.
     pub max_us: u64,
 }
 
 /// The report of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ClassReport {
-    /// The counts.
+    /// The numbers of requests, by outcome.
     pub counts: ClassCounts,
-    /// The latency of answers.
+    /// The latency of requests that ran.
     pub answered: LatencyQuantiles,
-    /// The latency of refusals: a refusal is only of use if it comes at once.
+    /// The latency of requests that were answered "not run". It matters because a rejection helps the
+    /// caller only if it comes early.
     pub refused: LatencyQuantiles,
 }
 
-/// How often a reason was given, and how late.
+/// The requests that were not answered with rows for one reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ReasonReport {
     /// The number of requests.
     pub count: u64,
-    /// The latency of these verdicts.
+    /// The latency of their verdicts.
     pub told: LatencyQuantiles,
 }
 
-/// The report of a run.
+/// The report of a load run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct LoadReport {
-    /// Each class that occurred.
+    /// The reports of the classes that occurred.
     pub classes: BTreeMap<LoadClass, ClassReport>,
-    /// The share of served reads that replicas served, if the gateways said who served.
+    /// The fraction of the reads that were served by replicas; `None` if the gateways didn't report
+    /// who served them.
     pub replica_share: Option<f64>,
-    /// Why requests weren't answered with rows, in the words of the verdicts.
+    /// The requests that weren't answered with rows, by the text of the verdict.
     pub reasons: BTreeMap<String, ReasonReport>,
     /// The number of acknowledged appends that were checked at the end.
     pub checked_appends: usize,
-    /// Broken promises; must be empty.
+    /// The violated consistency guarantees; empty in a correct run.
     pub violations: Vec<String>,
 }
 
@@ -122,7 +124,7 @@
         }
     }
 
-    /// Takes one outcome.
+    /// Adds the outcome of a request.
     pub fn record(&mut self, record: &RequestRecord) {
         let class = self
             .classes
@@ -144,7 +146,7 @@
             .saturating_record(record.latency.as_micros() as u64);
     }
 
-    /// Returns the report so far, without what the oracle says.
+    /// Returns the report so far, without the results of the consistency check.
     pub fn to_report(&self) -> LoadReport {
         let classes: BTreeMap<LoadClass, ClassReport> = self
             .classes
@@ -157,7 +159,7 @@
             reasons: self
                 .reasons
                 .iter()
-                .map(|(reason, told)| (reason.clone(), read_reason(told)))
+                .map(|(reason, latencies)| (reason.clone(), summarize_reason(latencies)))
                 .collect(),
             ..LoadReport::default()
         }
@@ -203,25 +205,25 @@
     fn to_report(&self) -> ClassReport {
         ClassReport {
             counts: self.counts,
-            answered: read_quantiles(&self.answered),
-            refused: read_quantiles(&self.refused),
+            answered: compute_quantiles(&self.answered),
+            refused: compute_quantiles(&self.refused),
         }
     }
 }
 
 fn empty_histogram() -> Histogram<u64> {
-    // The bounds are constants that the library accepts.
-    Histogram::new_with_max(LONGEST_LATENCY_US, 3).expect("constant bounds")
+    // The arguments are constants within the bounds of the library.
+    Histogram::new_with_max(MAX_LATENCY_US, 3).expect("constant bounds")
 }
 
-fn read_reason(told: &Histogram<u64>) -> ReasonReport {
+fn summarize_reason(latencies: &Histogram<u64>) -> ReasonReport {
     ReasonReport {
-        count: told.len(),
-        told: read_quantiles(told),
+        count: latencies.len(),
+        told: compute_quantiles(latencies),
     }
 }
 
-fn read_quantiles(histogram: &Histogram<u64>) -> LatencyQuantiles {
+fn compute_quantiles(histogram: &Histogram<u64>) -> LatencyQuantiles {
     LatencyQuantiles {
         p50_us: histogram.value_at_quantile(0.5),
         p90_us: histogram.value_at_quantile(0.9),
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `ragwort-lab`: an endpoint stand-in and tools that put load and faults on ragwortgate.
+//! `ragwort-lab`: an endpoint stand-in, and tools that test and measure ragwortgate under load and faults.
 
 use argh::FromArgs;
 use log::LevelFilter;
@@ -32,8 +32,8 @@
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
 
-/// How long a leaving endpoint stays: its announcements reach everybody meanwhile.
-const LEAVING_PATIENCE: Duration = Duration::from_millis(1_500);
+/// The time for which a leaving endpoint keeps serving, so that its announcements reach all daemons.
+const LEAVING_NOTICE: Duration = Duration::from_millis(1_500);
 
 /// Endpoint stand-in, load tool and reports of ragwortgate.
 #[derive(Debug, FromArgs)]
@@ -55,7 +55,7 @@
     Path(PathArguments),
 }
 
-/// Run an endpoint stand-in, in memory.
+/// Run an in-memory endpoint stand-in.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "endpoint")]
 struct EndpointArguments {
@@ -68,16 +68,16 @@
     /// the failure domain
     #[argh(option)]
     domain: String,
-    /// where to take statements
+    /// address of the data port, which takes statements
     #[argh(option)]
     data: SocketAddr,
-    /// where the agent answers
+    /// address of the agent
     #[argh(option)]
     agent: SocketAddr,
-    /// the data address to announce, if another
+    /// the data address to announce, if it differs
     #[argh(option)]
     advertise_data: Option<SocketAddr>,
-    /// the agent's address to announce, if another
+    /// the agent's address to announce, if it differs
     #[argh(option)]
     advertise_agent: Option<SocketAddr>,
     /// daemons to announce to, separated by commas
@@ -95,15 +95,15 @@
     /// milliseconds that a statement takes; 4 by default
     #[argh(option, default = "4")]
     service_ms: u64,
-    /// milliseconds by which a replica lags; 0 by default
+    /// replication lag of a replica, in milliseconds; 0 by default
     #[argh(option, default = "0")]
     lag_ms: u64,
-    /// start as the primary of a brand new group
+    /// start as the primary of a new group
     #[argh(switch)]
     primary: bool,
 }
 
-/// Send a load through gateways, or to one endpoint, and check what callers were told.
+/// Send a load through gateways, or to one endpoint, and check the consistency of the answers.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "load")]
 struct LoadArguments {
@@ -119,7 +119,7 @@
     /// requests per second; 100 by default
     #[argh(option, default = "100.0")]
     rate: f64,
-    /// seconds; 10 by default
+    /// duration in seconds; 10 by default
     #[argh(option, default = "10.0")]
     seconds: f64,
     /// seed of the schedule; 1 by default
@@ -131,7 +131,7 @@
     /// requests after which a session moves to another gateway; 20 by default
     #[argh(option, default = "20")]
     move_every: u64,
-    /// how many times more the first customer sends than any other; 1 by default
+    /// ratio of the first customer's request rate to that of any other; 1 by default
     #[argh(option, default = "1")]
     hot_factor: u32,
     /// lists in use at a time; 16 by default
@@ -140,7 +140,7 @@
     /// classes and weights, such as `urgent=3,grant=12,update=15,status=40,fresh=15,own=15,report=1`
     #[argh(option, default = "LoadMix::default()")]
     mix: LoadMix,
-    /// a word for this run's keys; the process id by default
+    /// prefix of this run's keys and session names; made from the process id by default
     #[argh(option, default = "format!(\"run{}\", std::process::id())")]
     run: String,
     /// print the report as JSON
@@ -157,7 +157,7 @@
     size: SiteSize,
 }
 
-/// Start a small set, send a write and some reads, print what each caller received.
+/// Start a small set of processes, send a write and some reads, and print the answers.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "demo")]
 struct DemoArguments {}
@@ -169,13 +169,13 @@
     /// failovers to measure; 20 by default
     #[argh(option, default = "20")]
     runs: usize,
-    /// what happens to the primary: kill, freeze or cut
+    /// fault of the primary: kill, freeze or cut
     #[argh(option)]
     fault: PrimaryFault,
     /// omuti or sabarmati
     #[argh(option, from_str_fn(find_size))]
     size: SiteSize,
-    /// seed of the moments at which faults come; 1 by default
+    /// seed of the times at which faults occur; 1 by default
     #[argh(option, default = "1")]
     seed: u64,
     /// VMs to start instead of the site's number
@@ -189,14 +189,14 @@
     keep: bool,
 }
 
-/// Let faults come at random against real processes while callers work.
+/// Inject random faults into real processes under load.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "soak")]
 struct SoakArguments {
-    /// seed of load and faults; 1 by default
+    /// seed of the load and of the faults; 1 by default
     #[argh(option, default = "1")]
     seed: u64,
-    /// minutes; 5 by default
+    /// duration in minutes; 5 by default
     #[argh(option, default = "5.0")]
     minutes: f64,
     /// omuti or sabarmati; omuti by default
@@ -213,7 +213,7 @@
     keep: bool,
 }
 
-/// Measure what each role costs as the number of VMs grows; prints slopes for several numbers.
+/// Measure the resource use of each role for several numbers of VMs, and print linear fits.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "scale")]
 struct ScaleArguments {
@@ -226,16 +226,16 @@
     /// database groups; none by default
     #[argh(option, default = "0")]
     groups: usize,
-    /// seconds of each phase; 20 by default
+    /// duration of each phase in seconds; 20 by default
     #[argh(option, default = "20.0")]
     seconds: f64,
     /// milliseconds between heartbeats; 200 by default
     #[argh(option, default = "200")]
     heartbeat_ms: u64,
-    /// milliseconds that a lease runs; 1000 by default
+    /// duration of a lease in milliseconds; 1000 by default
     #[argh(option, default = "1000")]
     lease_ms: u64,
-    /// milliseconds of the control VMs' tick; 20 by default
+    /// tick interval of the control VMs' clock in milliseconds; 20 by default
     #[argh(option, default = "20")]
     tick_ms: u64,
     /// print the reports as JSON
@@ -246,7 +246,7 @@
     keep: bool,
 }
 
-/// Measure what a statement costs on its way, and a connection at the gateway.
+/// Measure the cost of a statement at each hop, and of an idle connection at the gateway.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "path")]
 struct PathArguments {
@@ -260,7 +260,7 @@
     /// classes and weights, as for `load`
     #[argh(option, default = "LoadMix::default()")]
     mix: LoadMix,
-    /// seconds for each rate; 10 by default
+    /// duration of each run in seconds; 10 by default
     #[argh(option, default = "10.0")]
     seconds: f64,
     /// idle connections to open; 2000 by default
@@ -296,7 +296,7 @@
 async fn main() -> ExitCode {
     let arguments: LabArguments = argh::from_env();
     let config = ConfigBuilder::new().set_time_format_rfc3339().build();
-    // A second logger can't be there yet.
+    // Initialization can't fail: no other logger has been set.
     let _ = WriteLogger::init(LevelFilter::Info, config, std::io::stderr());
     let outcome = match arguments.command {
         LabSubcommand::Endpoint(arguments) => run_endpoint(arguments).await,
@@ -349,7 +349,7 @@
         _ = interrupt.recv() => {}
     }
     log::info!("event=leaving instance={}", settings.instance);
-    endpoint.leave(LEAVING_PATIENCE).await;
+    endpoint.leave(LEAVING_NOTICE).await;
     endpoint.stop().await;
     Ok(())
 }
@@ -380,7 +380,7 @@
     }
     match report.violations.is_empty() {
         true => Ok(()),
-        false => Err(format!("{} promises broken", report.violations.len()).into()),
+        false => Err(format!("{} consistency violations", report.violations.len()).into()),
     }
 }
 
@@ -395,7 +395,7 @@
 }
 
 async fn report_gap(arguments: GapArguments) -> Result<(), Box<dyn Error>> {
-    let settings = set_settings(arguments.size, arguments.vms, arguments.keep)?;
+    let settings = build_set_settings(arguments.size, arguments.vms, arguments.keep)?;
     let mut set = LabSet::start(settings).await?;
     println!("folder: {}", set.folder().display());
     let report = measure_gaps(&mut set, arguments.fault, arguments.runs, arguments.seed).await?;
@@ -411,7 +411,7 @@
 }
 
 async fn report_soak(arguments: SoakArguments) -> Result<(), Box<dyn Error>> {
-    let settings = set_settings(arguments.size, arguments.vms, arguments.keep)?;
+    let settings = build_set_settings(arguments.size, arguments.vms, arguments.keep)?;
     let soak = SoakSettings {
         seed: arguments.seed,
         duration: Duration::from_secs_f64(arguments.minutes * 60.0),
@@ -428,7 +428,7 @@
     set.stop().await?;
     match report.is_clean() {
         true => Ok(()),
-        false => Err("the soak has found faults".into()),
+        false => Err("the soak found violations, alarms or faults without recovery".into()),
     }
 }
 
@@ -441,8 +441,8 @@
             control: arguments.control,
             groups: arguments.groups,
             slots: 2,
-            service: Duration::from_millis(4),
-            phase: Duration::from_secs_f64(arguments.seconds),
+            service_time: Duration::from_millis(4),
+            phase_time: Duration::from_secs_f64(arguments.seconds),
             heartbeat_ms: arguments.heartbeat_ms,
             lease_ms: arguments.lease_ms,
             tick_ms: arguments.tick_ms,
@@ -471,7 +471,7 @@
     Ok(())
 }
 
-fn set_settings(
+fn build_set_settings(
     mut size: SiteSize,
     vms: Option<usize>,
     keep_folder: bool,
@@ -485,9 +485,11 @@
     })
 }
 
-/// Returns the folder of this program, in which a build puts the others as well.
+/// Returns the folder of this program, which holds the other binaries of the build as well.
 fn find_binaries() -> Result<PathBuf, Box<dyn Error>> {
     let program = std::env::current_exe()?;
-    let folder = program.parent().ok_or("the program lies in no folder")?;
+    let folder = program
+        .parent()
+        .ok_or("the path of this program has no parent folder")?;
     Ok(folder.to_owned())
 }
--- a/crates/lab/src/oracle.rs
+++ b/crates/lab/src/oracle.rs
@@ -1,36 +1,39 @@
-//! The oracle: what callers were told, held against what they read and what is there at the end.
+//! The consistency check of a load run. It compares the outcomes that callers were told with what reads
+//! returned and with the final content of the database.
 //!
-//! Callers write *cells* (`put`, one writer each, numbered values) and *lists* (`append`, unique
-//! tokens). Times are microseconds since the start of the load; the oracle has no clock.
+//! Callers write to *cells* by `put`, with consecutively numbered values from a single writer, and to
+//! *lists* by `append`, with unique tokens. From these the check detects lost, duplicated and wrongly
+//! rejected writes, values under a wrong key, violations of read-your-writes, and reads that are staler
+//! than allowed. Times are in microseconds since the start of the load, and are given by the caller.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// What the caller of a write was told.
+/// The outcome of a write, as its caller was told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It ran; told at this time.
+    /// The write ran; the caller was told at this time.
     Acknowledged(u64),
-    /// It did not run.
+    /// The write did not run.
     NotRun,
-    /// It may have run, or nothing was said.
+    /// The write may have run, or there was no answer.
     MayHaveRun,
 }
 
-/// A unique value of a list, which says where it belongs.
+/// A unique list element that names the list and the session it belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ListToken {
-    /// The list.
+    /// The key of the list.
     pub list: String,
-    /// The session that appends it.
+    /// The session that appends the token.
     pub session: String,
-    /// Its number among the session's tokens.
+    /// The number of the token within the session.
     pub number: u64,
 }
 
 impl ListToken {
-    /// Parses a token; `None` if the text isn't one.
+    /// Parses a token of the form `LIST=SESSION=NUMBER`; returns `None` for any other text.
     pub fn parse(text: &str) -> Option<Self> {
         let mut parts = text.split('=');
         let token = Self {
@@ -51,77 +54,77 @@
 /// A read of a list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListRead {
-    /// The list.
+    /// The key of the list.
     pub list: String,
     /// The session that read.
     pub session: String,
-    /// When the read began.
+    /// The time at which the read began.
     pub start_us: u64,
-    /// The age that it allowed, in microseconds.
+    /// The maximum age of the data that the read accepts, in microseconds.
     pub max_age_us: u64,
-    /// The answer: the list's text, or nothing.
+    /// The answer: the list's text, or `None` if the list has no value.
     pub answer: Option<String>,
 }
 
-/// One thing that a caller did or was told.
+/// An action of a caller, or an answer it received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OracleEvent {
     /// An append is about to be sent.
     StartAppend(ListToken),
     /// The caller of an append was told its outcome.
     EndAppend(ListToken, WriteOutcome),
-    /// A cell's only writer is about to put its next value, which is [`cell_value`].
+    /// The writer of a cell is about to put its next value; see [`cell_value`].
     StartPut(String),
     /// The caller of the cell's last put was told its outcome.
     ///
-    /// After [`WriteOutcome::MayHaveRun`] the writer must leave the cell alone: the put may still
-    /// take effect, at any later time.
+    /// After [`WriteOutcome::MayHaveRun`] the writer must not use the cell again, as the put may still
+    /// take effect at any later time.
     EndPut(String, WriteOutcome),
-    /// The writer of a cell read it; the answer may be nothing.
+    /// The writer of a cell read it; `None` means that the cell has no value.
     ReadCell(String, Option<String>),
     /// A session read a list.
     ReadList(ListRead),
-    /// A list was read after all faults and requests had ended.
+    /// A list was read after all requests had ended; `None` means that it has no value.
     ReadFinalList(String, Option<String>),
 }
 
-/// Returns the value that the writer of a cell puts at its `number`th put, counted from 1.
+/// Returns the value of the put with this number to a cell, counted from 1.
 pub fn cell_value(key: &str, number: usize) -> String {
     format!("{key}={number}")
 }
 
-/// A promise that was broken.
+/// A violated consistency guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OracleViolation {
-    /// An acknowledged append isn't there at the end.
+    /// An acknowledged append is missing from the final list.
     Lost(ListToken),
-    /// An append is there more than once.
+    /// A list contains an append more than once.
     Doubled(ListToken),
-    /// A write that was answered "not run" is there.
+    /// A write that was answered "not run" took effect.
     RefusedButRun(String),
-    /// An answer holds a value of another key, or one that nobody wrote.
+    /// An answer contains a value of another key, or one that was never written.
     ForeignValue {
         /// The key that was read.
         key: String,
-        /// The value that doesn't belong there.
+        /// The unexpected value.
         value: String,
     },
-    /// A session didn't see its own acknowledged write.
+    /// A read doesn't reflect an earlier acknowledged write of the same session.
     OwnWriteUnseen {
         /// The key that was read.
         key: String,
-        /// The write that is missing.
+        /// The value of the missing write.
         missing: String,
         /// The answer.
         found: String,
     },
-    /// A read was older than it allowed.
+    /// A read returned data that is staler than it accepts.
     StaleRead {
-        /// The write that is missing.
+        /// The token of the missing write.
         missing: ListToken,
-        /// How long before the read's start it was acknowledged, in microseconds.
+        /// The time from the write's acknowledgement to the start of the read, in microseconds.
         acknowledged_before_us: u64,
-        /// The age that the read allowed, in microseconds.
+        /// The maximum age that the read accepts, in microseconds.
         max_age_us: u64,
     },
 }
@@ -158,18 +161,22 @@
     }
 }
 
-/// Collects what happened and names each broken promise.
+/// The history of a load run, and the violations found in it.
 #[derive(Clone, Debug, Default)]
 pub struct LoadOracle {
+    /// The outcome of each append, by list; `None` while it is pending.
     lists: BTreeMap<String, BTreeMap<ListToken, Option<WriteOutcome>>>,
     cells: BTreeMap<String, CellHistory>,
+    /// The tokens that any read has returned, by list.
     seen: BTreeMap<String, BTreeSet<ListToken>>,
     violations: Vec<OracleViolation>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct CellHistory {
+    /// The outcome of each put, in order; `None` while it is pending.
     outcomes: Vec<Option<WriteOutcome>>,
+    /// Whether a read has returned the value of the put with the same index.
     seen_values: Vec<bool>,
 }
 
@@ -179,7 +186,7 @@
         &self.violations
     }
 
-    /// Returns the names of all lists that were written to.
+    /// Returns the keys of all lists that were written to.
     pub fn list_names(&self) -> impl Iterator<Item = &str> {
         self.lists.keys().map(String::as_str)
     }
@@ -192,7 +199,7 @@
             .count()
     }
 
-    /// Takes an event and checks what can be checked now.
+    /// Adds an event, and checks it if it is a read.
     pub fn observe(&mut self, event: OracleEvent) {
         match event {
             OracleEvent::StartAppend(token) => self.record_append(token, None),
@@ -275,26 +282,26 @@
                 });
             }
         }
-        self.remember_seen(&read.list, tokens);
+        self.record_seen(&read.list, tokens);
     }
 
     fn check_final_list(&mut self, list: &str, answer: Option<&str>) {
         let tokens = self.parse_list(list, answer);
         for (token, outcome) in self.lists.entry(list.to_owned()).or_default() {
-            let there = tokens.contains(token);
-            if !there && matches!(outcome, Some(WriteOutcome::Acknowledged(_))) {
+            let is_present = tokens.contains(token);
+            if !is_present && matches!(outcome, Some(WriteOutcome::Acknowledged(_))) {
                 self.violations.push(OracleViolation::Lost(token.clone()));
             }
         }
-        self.remember_seen(list, tokens);
+        self.record_seen(list, tokens);
     }
 
-    fn remember_seen(&mut self, list: &str, tokens: BTreeSet<ListToken>) {
+    fn record_seen(&mut self, list: &str, tokens: BTreeSet<ListToken>) {
         self.seen.entry(list.to_owned()).or_default().extend(tokens);
     }
 
-    /// Checks that nothing answered "not run" was ever seen; call it once, when every answer is
-    /// known.
+    /// Checks that no read has returned a write that was answered "not run". Must be called once, when
+    /// the outcomes of all writes are known.
     pub fn check_refused(&mut self) {
         let refused = Some(WriteOutcome::NotRun);
         for (list, tokens) in &self.seen {
@@ -315,7 +322,7 @@
         }
     }
 
-    /// Parses a list's answer, reporting doubles and values that don't belong there.
+    /// Parses the text of a list; reports duplicates and tokens that were never appended to it.
     fn parse_list(&mut self, list: &str, answer: Option<&str>) -> BTreeSet<ListToken> {
         let mut tokens = BTreeSet::new();
         for text in answer.iter().flat_map(|text| text.split(',')) {
@@ -341,6 +348,7 @@
     }
 }
 
+/// Returns the number of the put that wrote a cell's value.
 fn parse_cell(key: &str, text: &str) -> Option<usize> {
     let number = text.strip_prefix(key)?.strip_prefix('=')?.parse().ok()?;
     (number > 0).then_some(number)
--- a/crates/lab/src/ports.rs
+++ b/crates/lab/src/ports.rs
@@ -1,8 +1,8 @@
-//! Addresses on 127.0.0.1 for processes that are about to be started.
+//! Selection of unused addresses on 127.0.0.1 for processes that are about to be started.
 //!
-//! Whole sets run beside one another, of tests, demos and soaks. Each process that picks claims a block
-//! of ports for as long as it runs and picks from its own blocks only, so that no two sets ever mean the
-//! same port.
+//! Several tests, demos and soak runs may start deployments at the same time. Each process claims blocks
+//! of ports by binding the first port of a block for as long as it runs, and picks from its own blocks
+//! only, so that no two processes pick the same port.
 
 use std::net::SocketAddr;
 use std::net::TcpListener;
@@ -12,23 +12,24 @@
 /// The first port of the first block.
 const FIRST_PORT: u16 = 10_000;
 
-/// The ports of a block: enough for a set of 30 VMs. The first one marks the block as claimed.
+/// The number of ports in a block, enough for 30 VMs. The first one is bound to claim the block.
 const BLOCK_PORTS: u16 = 100;
 
-/// The number of blocks. All lie below the range from which the system takes the ports of outgoing
-/// connections, so that none of those can take a picked port first.
+/// The number of blocks. All lie below the system's ephemeral port range, so that an outgoing
+/// connection can't use a picked port first.
 const BLOCK_COUNT: u16 = 220;
 
-/// How far apart two processes of neighbouring ids begin to look for a block: what a former process
-/// started may still try to reach the ports that it knew.
+/// The distance, in blocks, between the first choices of processes with consecutive ids. Children of a
+/// process that has ended may still try to reach its ports, so the next process should start with other
+/// blocks.
 const BLOCK_STRIDE: u32 = 7;
 
-/// A block of ports that belongs to this process.
+/// A block of ports claimed by this process.
 struct PortBlock {
-    /// Bound for as long as the process runs: nobody else can claim the block meanwhile.
+    /// The listener on the block's first port, which keeps other processes from claiming the block.
     _claim: TcpListener,
     first: u16,
-    /// The ports that were picked or passed over.
+    /// The number of ports that were picked, skipped or used for the claim.
     used: u16,
 }
 
@@ -43,11 +44,11 @@
         })
     }
 
-    /// Returns the next port at which nobody listens.
+    /// Returns the next port on which no process listens.
     ///
-    /// It is tried by a connection. A listener that tries it would be inherited by each child that is being
-    /// started at that moment, and take connections there after it was closed here: who waits until a
-    /// process listens would believe that it does.
+    /// The check is a connection attempt. A trial bind would not do: a child process that is being started
+    /// at that moment inherits the listener and keeps it open until its program is loaded, so that a test
+    /// which waits for another process to listen would connect to the trial listener.
     fn pick(&mut self) -> Option<SocketAddr> {
         while self.used < BLOCK_PORTS {
             let address = on_loopback(self.first + self.used);
@@ -60,10 +61,10 @@
     }
 }
 
-/// The blocks of this process; the last one is picked from.
+/// The blocks claimed by this process; ports are picked from the last one.
 static BLOCKS: Mutex<Vec<PortBlock>> = Mutex::new(Vec::new());
 
-/// Picks an address on 127.0.0.1 that no other process picks while this one runs.
+/// Returns an unused address on 127.0.0.1 that no other process picks while this one runs.
 ///
 /// # Panics
 ///
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -1,8 +1,7 @@
-//! Child processes of tests, demo and soak: started, frozen, ended by their own id.
+//! Child processes, which can be frozen, thawed, terminated and killed.
 //!
-//! The lab may start processes; the daemon may not. Whoever starts a child owns it: dropping a
-//! [`ChildProcess`] kills the child, frozen or not, and waits for its end, so that a failed test
-//! leaves nothing behind.
+//! A [`ChildProcess`] owns its process: dropping it kills the process, frozen or not, and reaps it, so
+//! that a failed test leaves no processes behind. Signals go to the process id of the child only.
 
 pub use crate::ports::pick_address;
 use std::fs;
@@ -19,16 +18,17 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-/// The pause between two looks at a child that is to end.
-const POLL_PAUSE: Duration = Duration::from_millis(10);
+/// The interval at which a child that is to end is polled.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The pause between two looks at a child that is to stop.
-const STOP_PAUSE: Duration = Duration::from_millis(1);
+/// The interval at which a child that is to stop is polled.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// How many looks a child may take to stop: ten seconds, hundreds of times what was seen.
-const STOP_LOOKS: usize = 10_000;
+/// The maximum number of polls until a child has stopped. This is a timeout of ten seconds; the longest
+/// stop seen took 27 ms.
+const MAX_STOP_POLLS: usize = 10_000;
 
-/// The state of a stopped thread, as the system names it.
+/// The state of a stopped thread in `/proc/PID/task/TID/stat`.
 const STOPPED_STATE: &str = "T";
 
 /// A child process.
@@ -40,11 +40,11 @@
 }
 
 impl ChildProcess {
-    /// Starts a program; its output goes to the file `NAME.log` in `folder`.
+    /// Starts a program and appends its output to the file `NAME.log` in `folder`.
     ///
     /// # Errors
     ///
-    /// Returns the [`io::Error`] of the log file or the start.
+    /// Returns an [`io::Error`] if the log file can't be opened or the program can't be started.
     pub fn spawn(
         name: &str,
         program: &Path,
@@ -76,7 +76,7 @@
         self.child.id()
     }
 
-    /// Returns where the child's output goes.
+    /// Returns the path of the file that the child's output is written to.
     pub fn log_file(&self) -> &Path {
         &self.log_file
     }
@@ -85,33 +85,33 @@
     ///
     /// # Errors
     ///
-    /// Returns the [`io::Error`] of the log file.
+    /// Returns an [`io::Error`] if the log file can't be read.
     pub fn read_log(&self) -> io::Result<String> {
         let bytes = fs::read(&self.log_file)?;
         Ok(String::from_utf8_lossy(&bytes).into_owned())
     }
 
-    /// Stops the child where it stands (SIGSTOP) and waits until all its threads have stopped.
+    /// Stops the child (SIGSTOP) and waits until all its threads have stopped.
     ///
-    /// The signal only asks for the stop. On a busy machine threads of the child went on for up to 27 ms
-    /// after it was sent, and answered requests of callers who took the child for frozen.
+    /// Sending the signal only begins the stop. On a busy machine, threads of the child ran for up to
+    /// 27 ms after it was sent and answered requests that a frozen process must not answer.
     ///
     /// # Errors
     ///
-    /// Returns an error if the child has ended already, or hasn't stopped in a long time.
+    /// Returns an error if the child has already ended or doesn't stop within ten seconds.
     pub fn freeze(&mut self) -> io::Result<()> {
         self.send_signal("STOP")?;
-        for _ in 0..STOP_LOOKS {
+        for _ in 0..MAX_STOP_POLLS {
             if is_stopped(self.child.id())? {
                 return Ok(());
             }
-            thread::sleep(STOP_PAUSE);
+            thread::sleep(STOP_POLL_INTERVAL);
         }
-        let message = format!("{} hasn't stopped", self.name);
+        let message = format!("{} did not stop after SIGSTOP", self.name);
         Err(io::Error::new(io::ErrorKind::TimedOut, message))
     }
 
-    /// Lets a frozen child go on (SIGCONT).
+    /// Resumes a frozen child (SIGCONT).
     ///
     /// # Errors
     ///
@@ -120,7 +120,7 @@
         self.send_signal("CONT")
     }
 
-    /// Asks the child to end in good order (SIGTERM).
+    /// Requests a graceful shutdown of the child (SIGTERM).
     ///
     /// # Errors
     ///
@@ -129,39 +129,40 @@
         self.send_signal("TERM")
     }
 
-    /// Ends the child at once (SIGKILL) and waits for it.
+    /// Kills the child (SIGKILL) and reaps it.
     ///
     /// # Errors
     ///
-    /// Returns the [`io::Error`] of the kill or the wait.
+    /// Returns an [`io::Error`] if the child can't be killed or reaped.
     pub fn kill(&mut self) -> io::Result<ExitStatus> {
         self.child.kill()?;
         self.child.wait()
     }
 
-    /// Returns whether the child still runs (or is frozen).
+    /// Returns whether the child hasn't ended yet; a frozen child counts as running.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Waits for the child's end; `None` means that it still runs after `patience`.
+    /// Waits until the child has ended and returns its exit status, or `None` if it is still running
+    /// after `max_wait`.
     ///
     /// # Errors
     ///
-    /// Returns the [`io::Error`] of the wait.
-    pub async fn wait_for_end(&mut self, patience: Duration) -> io::Result<Option<ExitStatus>> {
-        let end = Instant::now() + patience;
+    /// Returns an [`io::Error`] if the child's state can't be read.
+    pub async fn wait_for_end(&mut self, max_wait: Duration) -> io::Result<Option<ExitStatus>> {
+        let end = Instant::now() + max_wait;
         loop {
             let status = self.child.try_wait()?;
             if status.is_some() || Instant::now() >= end {
                 return Ok(status);
             }
-            sleep(POLL_PAUSE).await;
+            sleep(EXIT_POLL_INTERVAL).await;
         }
     }
 
-    /// A process id can be given anew once the child was waited for. Signals go out only while
-    /// `try_wait` shows the child as unreaped, so they can't hit a stranger.
+    /// Sends a signal to the child. The system may reuse a process id once the child has been reaped,
+    /// so a signal is sent only while `try_wait` shows that it hasn't, and can't reach another process.
     fn send_signal(&mut self, signal: &str) -> io::Result<()> {
         if let Some(status) = self.child.try_wait()? {
             let message = format!("{} has ended: {status}", self.name);
@@ -178,17 +179,17 @@
 
 impl Drop for ChildProcess {
     fn drop(&mut self) {
-        // A child that has ended already can't be killed; it still must be reaped.
+        // Killing fails if the child has already ended; it must be reaped nevertheless.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// Says whether all threads of a process have stopped.
+/// Returns whether all threads of a process have stopped.
 fn is_stopped(id: u32) -> io::Result<bool> {
     for task in fs::read_dir(format!("/proc/{id}/task"))? {
         let text = fs::read_to_string(task?.path().join("stat"))?;
-        // The name before the state is in brackets and may hold anything.
+        // The thread's name precedes the state in parentheses and may contain any character.
         let state = text.rsplit_once(") ").map(|(_, rest)| rest);
         if !state.is_some_and(|state| state.starts_with(STOPPED_STATE)) {
             return Ok(false);
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -1,7 +1,7 @@
-//! A TCP relay that delays bytes, can be cut, and can lose track of its connections, as a middlebox
-//! does.
+//! A TCP relay that injects network faults: a fixed delay, a partition, and connections that go silent,
+//! as behind a NAT device that has lost its connection table.
 //!
-//! The timers of `tokio` tick by the millisecond, so a delay of 0.5 ms comes out as 1 to 2 ms.
+//! The timers of `tokio` have a resolution of 1 ms, so a delay of 0.5 ms takes 1 to 2 ms in practice.
 
 use std::io;
 use std::net::SocketAddr;
@@ -22,36 +22,39 @@
 use tokio::time::Instant;
 use tokio::time::sleep_until;
 
-/// The bytes forwarded at once.
+/// The maximum number of bytes that are read and forwarded at once.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// The chunks of one direction that may be under way; the sender waits then, as on a full link.
-const CHUNKS_UNDER_WAY: usize = 64;
+/// The maximum number of delayed chunks in one direction. The relay stops reading at this limit, which
+/// exerts back-pressure on the sender.
+const MAX_CHUNKS_IN_FLIGHT: usize = 64;
 
-/// What the relay does with bytes and new connections.
+/// The relay's treatment of open and new connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayMode {
-    /// Everything is forwarded.
+    /// Forwards everything.
     Open,
-    /// No byte passes; a new connection is accepted and hangs.
+    /// Forwards nothing; new connections are accepted but not connected to the target.
     Hang,
-    /// No byte passes on open connections; a new connection is closed at once.
+    /// Forwards nothing; new connections are closed at once.
     Refuse,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct RelayState {
     mode: RelayMode,
-    /// Raised each time open connections are lost track of.
+    /// The number of calls of [`CutRelay::forget_connections`]. A connection is silent if it was opened
+    /// at a lower count.
     forgotten: u64,
 }
 
-/// What has passed a relay, both ways together.
+/// The traffic that a relay has forwarded, in both directions together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RelayTraffic {
-    /// The bytes, without the headers of TCP and IP.
+    /// The number of payload bytes, without TCP and IP headers.
     pub bytes: u64,
-    /// The reads that they came in: about one for each segment on a quiet connection.
+    /// The number of reads, which is about the number of TCP segments on a connection with little
+    /// traffic.
     pub reads: u64,
 }
 
@@ -68,7 +71,7 @@
     }
 }
 
-/// A relay to one address.
+/// A relay to one target address.
 #[derive(Debug)]
 pub struct CutRelay {
     address: SocketAddr,
@@ -78,11 +81,11 @@
 }
 
 impl CutRelay {
-    /// Starts a relay on a free port of 127.0.0.1 that passes bytes on after `delay` each way.
+    /// Starts a relay on a free port of 127.0.0.1, with a one-way delay in each direction.
     ///
     /// # Errors
     ///
-    /// Returns the [`io::Error`] of the bind.
+    /// Returns an [`io::Error`] if the port can't be bound.
     pub async fn start(target: SocketAddr, delay: Duration) -> io::Result<Self> {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
@@ -109,12 +112,12 @@
         })
     }
 
-    /// Returns the relay's address.
+    /// Returns the address on which the relay accepts connections.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns what has passed so far.
+    /// Returns the traffic so far.
     pub fn traffic(&self) -> RelayTraffic {
         RelayTraffic {
             bytes: self.traffic.bytes.load(Ordering::Relaxed),
@@ -122,24 +125,25 @@
         }
     }
 
-    /// Changes what the relay does. A connection on which bytes waited goes on when the relay is
-    /// opened again, as TCP does after a cut.
+    /// Changes the mode. Open connections resume with the bytes that were held back when the relay is
+    /// opened again, as TCP connections do after a short partition.
     pub fn set_mode(&self, mode: RelayMode) {
         self.state.send_modify(|state| state.mode = mode);
     }
 
-    /// Silences the connections that are open now, for good; new ones work.
+    /// Stops forwarding on the connections that are open now, for good and without closing them. New
+    /// connections work.
     pub fn forget_connections(&self) {
         self.state.send_modify(|state| state.forgotten += 1);
     }
 
-    /// Ends the relay and its connections.
+    /// Stops the relay and closes its connections.
     pub async fn stop(mut self) {
         self.tasks.shutdown().await;
     }
 }
 
-/// Where a relay's connections lead, and what they have in common.
+/// The parameters that all connections of a relay share.
 #[derive(Clone, Debug)]
 struct RelayLink {
     target: SocketAddr,
@@ -173,17 +177,17 @@
     mut state: watch::Receiver<RelayState>,
 ) {
     let forgotten = state.borrow().forgotten;
-    pass(&mut state, forgotten).await;
+    wait_until_open(&mut state, forgotten).await;
     let Ok(callee) = TcpStream::connect(link.target).await else {
         return;
     };
-    // Without it the relay would add Nagle's delay to every small message.
+    // Nagle's algorithm would delay small messages.
     let _ = caller.set_nodelay(true);
     let _ = callee.set_nodelay(true);
     let (caller_read, caller_write) = caller.into_split();
     let (callee_read, callee_write) = callee.into_split();
-    let (to_callee, callee_chunks) = mpsc::channel(CHUNKS_UNDER_WAY);
-    let (to_caller, caller_chunks) = mpsc::channel(CHUNKS_UNDER_WAY);
+    let (to_callee, callee_chunks) = mpsc::channel(MAX_CHUNKS_IN_FLIGHT);
+    let (to_caller, caller_chunks) = mpsc::channel(MAX_CHUNKS_IN_FLIGHT);
     tokio::join!(
         read_chunks(caller_read, &link, to_callee),
         read_chunks(callee_read, &link, to_caller),
@@ -192,14 +196,15 @@
     );
 }
 
-/// Bytes under way; an empty chunk is the end of the connection, a message as well.
+/// Bytes in transit and the time at which to forward them. An empty chunk stands for the end of the
+/// stream, which is delayed and held back in the same way.
 struct DelayedChunk {
     due: Instant,
     bytes: Vec<u8>,
 }
 
-/// Waits until the relay is open; never returns for a connection that was lost track of.
-async fn pass(state: &mut watch::Receiver<RelayState>, forgotten: u64) {
+/// Waits until the relay is in [`RelayMode::Open`]; never returns for a silent connection.
+async fn wait_until_open(state: &mut watch::Receiver<RelayState>, forgotten: u64) {
     let open = |state: &RelayState| state.mode == RelayMode::Open && state.forgotten == forgotten;
     if state.wait_for(open).await.is_err() {
         std::future::pending().await
@@ -231,11 +236,11 @@
 ) {
     while let Some(chunk) = chunks.recv().await {
         sleep_until(chunk.due).await;
-        pass(&mut state, forgotten).await;
+        wait_until_open(&mut state, forgotten).await;
         if chunk.bytes.is_empty() || to.write_all(&chunk.bytes).await.is_err() {
             break;
         }
     }
-    // The other side may be gone already; then there is nobody to tell.
+    // The peer may have closed its side already.
     let _ = to.shutdown().await;
 }
--- a/crates/lab/src/replication.rs
+++ b/crates/lab/src/replication.rs
@@ -1,4 +1,7 @@
-//! Asynchronous replication: a replica pulls log entries from its primary's agent.
+//! Asynchronous replication: a replica fetches log entries from its primary's agent by long polling.
+//!
+//! If the logs have diverged, the replica truncates its own step by step until it is a prefix of the
+//! primary's. Entries are applied once the configured lag has passed since they were written.
 
 use crate::endpoint::EndpointShared;
 use crate::instance::FetchReply;
@@ -12,16 +15,18 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How long the primary may hold an empty answer back, in milliseconds.
+/// The time, in milliseconds, for which the primary may delay an empty reply (long poll).
 const FETCH_WAIT_MS: u64 = 500;
 
-/// How long a fetch may take before the replica asks anew, on a connection that may be a new one.
+/// The timeout of a fetch, after which the replica retries, possibly on a new connection.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The pause after a fetch that failed, or while replication is cut.
+/// The pause after a failed fetch and while replication is cut by a fault.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// Pulls from whomever the instance follows, until the endpoint stops.
+/// Pulls from the primary that the instance follows, and restarts whenever the target changes.
+///
+/// Returns when the instance's task has ended.
 pub async fn run_puller(shared: Arc<EndpointShared>) {
     let mut targets = shared.instance.watch_target();
     loop {
@@ -35,6 +40,7 @@
     }
 }
 
+/// Pulls from one primary; never returns. Without a target it waits.
 async fn pull_from(shared: &EndpointShared, target: Option<FollowTarget>) {
     let Some(target) = target else {
         return std::future::pending().await;
@@ -49,7 +55,7 @@
         }
     };
     loop {
-        shared.pass_isolation().await;
+        shared.wait_until_calls_allowed().await;
         let progressed = pull_once(shared, target, &client).await;
         if !progressed {
             sleep(RETRY_PAUSE).await;
@@ -57,7 +63,7 @@
     }
 }
 
-/// Fetches and applies one batch; returns whether to go on at once.
+/// Fetches and applies one batch; returns whether to fetch the next one without a pause.
 async fn pull_once(shared: &EndpointShared, target: FollowTarget, client: &HttpClient) -> bool {
     if shared.faults.borrow().replication_cut {
         return false;
@@ -81,7 +87,8 @@
     }
 }
 
-/// Applies the entries whose lag is over; the rest is fetched again.
+/// Waits until the first entry is due and applies all entries that are due by then. An entry is due
+/// when the replica's lag has passed since it was written. The others are fetched again.
 async fn apply_when_due(
     shared: &EndpointShared,
     target: FollowTarget,
@@ -96,7 +103,7 @@
     if wait_us > 0 {
         sleep(Duration::from_micros(wait_us)).await;
     }
-    shared.pass_isolation().await;
+    shared.wait_until_calls_allowed().await;
     if shared.faults.borrow().replication_cut {
         return;
     }
--- a/crates/lab/src/scale.rs
+++ b/crates/lab/src/scale.rs
@@ -1,4 +1,5 @@
-//! Measures what each role costs as the number of VMs grows, on real processes.
+//! Measures the processor time, memory and control traffic of each node role, and the latency of contract
+//! changes and of removing a dead VM, on real processes.
 
 use crate::lab_contract::build_contract;
 use crate::relay::RelayTraffic;
@@ -9,7 +10,7 @@
 use crate::scale_report::ScalePhase;
 use crate::scale_report::ScaleReport;
 use crate::scale_report::TimeList;
-use crate::scale_set::LOOK_PAUSE;
+use crate::scale_set::STATUS_POLL_INTERVAL;
 use crate::scale_set::ScaleSet;
 use crate::scale_set::ScaleSettings;
 use crate::scale_set::group_name;
@@ -27,16 +28,16 @@
 use tokio::time::interval;
 use tokio::time::sleep;
 
-/// The time between two contract changes: 38 times as often as 2,300 a day.
+/// The interval between contract changes: 38 times the rate of 2,300 changes a day.
 const CHANGE_PERIOD: Duration = Duration::from_secs(1);
 
-/// How long the set settles before a phase.
+/// The time to let the set settle before a phase is measured.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// How many VMs are killed, one after the other.
-const KILLS: usize = 3;
+/// The number of VMs that are killed, one after the other.
+const KILLED_VMS: usize = 3;
 
-/// Starts a set, measures it and stops it.
+/// Starts a set, measures it idle, under contract changes and after killed VMs, and stops it.
 ///
 /// # Errors
 ///
@@ -45,11 +46,15 @@
     let began = Instant::now();
     let mut set = ScaleSet::start(settings).await?;
     let ready_seconds = began.elapsed().as_secs_f64();
-    let idle = async { sleep(set.settings.phase).await };
+    let idle = async { sleep(set.settings.phase_time).await };
     let idle = measure_phase(&set, ScalePhase::Idle, idle).await?;
     let mut changes = ChangeSeries::new(&set)?;
-    let changing =
-        measure_phase(&set, ScalePhase::Changes, changes.run(set.settings.phase)).await?;
+    let changing = measure_phase(
+        &set,
+        ScalePhase::Changes,
+        changes.run(set.settings.phase_time),
+    )
+    .await?;
     let (accepted, in_force) = changes.finish()?;
     let removed = measure_removals(&mut set).await?;
     let report = ScaleReport {
@@ -66,17 +71,18 @@
     Ok(report)
 }
 
+/// Measures the set while `work` runs.
 async fn measure_phase(
     set: &ScaleSet,
     phase: ScalePhase,
     work: impl Future<Output = ()>,
 ) -> Result<PhaseReport, SetFault> {
     sleep(SETTLE_TIME).await;
-    let leader = set.look().await?.control_leader;
+    let leader = set.control_status().await?.control_leader;
     let before = SetSample::take(set);
     work.await;
     let after = SetSample::take(set);
-    let later = set.look().await?.control_leader;
+    let later = set.control_status().await?.control_leader;
     let leader_name = leader.as_ref().map(ToString::to_string);
     let roles = [NodeRole::Leader, NodeRole::Follower, NodeRole::Member];
     let of_role = |role: &NodeRole| {
@@ -87,7 +93,10 @@
     };
     Ok(PhaseReport {
         phase,
-        seconds: after.taken.duration_since(before.taken).as_secs_f64(),
+        seconds: after
+            .sampled_at
+            .duration_since(before.sampled_at)
+            .as_secs_f64(),
         leader_changed: leader != later,
         roles: roles.iter().filter_map(of_role).collect(),
     })
@@ -101,9 +110,9 @@
     }
 }
 
-/// All nodes at one moment.
+/// The resource use of all nodes and the traffic counters at one time.
 struct SetSample {
-    taken: Instant,
+    sampled_at: Instant,
     nodes: Vec<ProcessUse>,
     member_traffic: RelayTraffic,
     control_traffic: RelayTraffic,
@@ -113,7 +122,7 @@
     fn take(set: &ScaleSet) -> Self {
         let uses = set.nodes.iter().map(|node| node.read_use());
         Self {
-            taken: Instant::now(),
+            sampled_at: Instant::now(),
             nodes: uses.map(Option::unwrap_or_default).collect(),
             member_traffic: set.member_traffic(),
             control_traffic: set.control_traffic(),
@@ -131,7 +140,10 @@
     if nodes.is_empty() {
         return None;
     }
-    let seconds = after.taken.duration_since(before.taken).as_secs_f64();
+    let seconds = after
+        .sampled_at
+        .duration_since(before.sampled_at)
+        .as_secs_f64();
     let spent = |index: &usize| {
         let spent = after.nodes[*index].processor - before.nodes[*index].processor;
         spent.as_secs_f64() / seconds * 100.0
@@ -143,23 +155,24 @@
     Some(RoleUse {
         role,
         nodes: nodes.len(),
-        core_percent: find_mean(&cores),
-        worst_core_percent: find_largest(&cores),
-        resident_mb: find_mean(&memories),
-        worst_resident_mb: find_largest(&memories),
+        core_percent: mean(&cores),
+        worst_core_percent: largest(&cores),
+        resident_mb: mean(&memories),
+        worst_resident_mb: largest(&memories),
         control_bytes: traffic.bytes as f64 / seconds / traffic.nodes,
         control_reads: traffic.reads as f64 / seconds / traffic.nodes,
     })
 }
 
-/// What the nodes of a role have exchanged together, and how many they are.
+/// The total control traffic of the nodes of a role, and their number.
 struct RoleTraffic {
     bytes: u64,
     reads: u64,
     nodes: f64,
 }
 
-/// A control VM's traffic is its share of the members' and both ends of that between control VMs.
+/// Computes a role's control traffic between two samples. The control VMs' traffic consists of that with
+/// plain members and of that among themselves, which is counted at both ends.
 fn count_traffic(
     set: &ScaleSet,
     role: NodeRole,
@@ -185,15 +198,15 @@
     }
 }
 
-fn find_mean(values: &[f64]) -> f64 {
+fn mean(values: &[f64]) -> f64 {
     values.iter().sum::<f64>() / values.len() as f64
 }
 
-fn find_largest(values: &[f64]) -> f64 {
+fn largest(values: &[f64]) -> f64 {
     values.iter().copied().fold(0.0, f64::max)
 }
 
-/// Contract changes of one customer, one after the other.
+/// Sends contract changes of one customer, one after the other, and records their latencies.
 struct ChangeSeries {
     client: HttpClient,
     base: ContractVersion,
@@ -213,7 +226,7 @@
         })
     }
 
-    /// Makes changes for some time, or until the first fault.
+    /// Sends changes for some time, or until the first fault.
     async fn run(&mut self, time: Duration) {
         let end = Instant::now() + time;
         let mut ticks = interval(CHANGE_PERIOD);
@@ -230,6 +243,7 @@
         }
     }
 
+    /// Sends one change and waits until it is in force.
     async fn change(&mut self) -> Result<(), SetFault> {
         let mut contract = build_contract("scale".into(), vec![group_name(0).as_str().into()]);
         contract.queue_limit += (self.base.0 % 2) as u32;
@@ -246,7 +260,7 @@
         let accepted = Instant::now();
         self.accepted.0.push(to_millis(accepted - sent));
         while !self.client.force_status(acceptance).await?.in_force {
-            sleep(LOOK_PAUSE).await;
+            sleep(STATUS_POLL_INTERVAL).await;
         }
         self.in_force.0.push(to_millis(accepted.elapsed()));
         self.base = acceptance.version;
@@ -254,12 +268,12 @@
     }
 }
 
-/// Kills plain members that lead groups, if there are any such, and waits until nothing is placed
-/// on them.
+/// Kills [`KILLED_VMS`] plain members, each time the one that is leaseholder of the most groups, and
+/// measures the time until it is removed from the membership and from all placements.
 async fn measure_removals(set: &mut ScaleSet) -> Result<TimeList, SetFault> {
     let mut times = TimeList::default();
-    for _ in 0..KILLS {
-        let status = set.look().await?;
+    for _ in 0..KILLED_VMS {
+        let status = set.control_status().await?;
         let leads = |vm: &str| {
             let groups = status.groups.iter();
             groups
--- a/crates/lab/src/scale_links.rs
+++ b/crates/lab/src/scale_links.rs
@@ -1,7 +1,7 @@
-//! Measures what an idle link between two VMs costs on both sides.
+//! Measures the processor time and memory of an idle link between two VMs, at both ends.
 //!
-//! The lab opens the links to one daemon, with the pings that daemons send each other, so that its
-//! own process stands for the calling side.
+//! This process opens the links to one daemon, with the same keep-alive pings as between daemons, and
+//! measures itself as the client side.
 
 use crate::scale_process::ProcessUse;
 use crate::scale_set::ScaleSet;
@@ -15,25 +15,26 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-/// The pings of the daemon's links (`crates/daemon/src/peers.rs`).
-const PING_EVERY: Duration = Duration::from_secs(10);
-const PING_PATIENCE: Duration = Duration::from_secs(20);
+/// The interval of keep-alive pings, as in `crates/daemon/src/peers.rs`.
+const PING_INTERVAL: Duration = Duration::from_secs(10);
+/// The silence after which a link is closed, as in `crates/daemon/src/peers.rs`.
+const PING_INACTIVITY_LIMIT: Duration = Duration::from_secs(20);
 
-/// How long a side settles before it is read.
+/// The time to let both sides settle before a measurement.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
 
-/// What an idle link costs.
+/// The cost of an idle link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct LinkCost {
-    /// How many links were open.
+    /// The number of open links.
     pub links: usize,
-    /// Processor time of the side that was called, for each link, in percent of a core.
+    /// The server's processor time per link, in percent of one core.
     pub server_percent: f64,
-    /// The same of the calling side.
+    /// The client's processor time per link, in percent of one core.
     pub client_percent: f64,
-    /// Memory of the side that was called, in bytes for each link.
+    /// The server's resident memory per link, in bytes.
     pub server_bytes: f64,
-    /// The same of the calling side.
+    /// The client's resident memory per link, in bytes.
     pub client_bytes: f64,
 }
 
@@ -52,11 +53,11 @@
     }
 }
 
-/// Opens idle links to the VM with this index and measures both sides for some time.
+/// Opens idle links to the VM with this index and measures both sides for `time` without and with them.
 ///
 /// # Errors
 ///
-/// Returns [`SetFault::Call`] if a link can't be opened.
+/// Returns [`SetFault::Call`] if a link can't be opened, or [`SetFault::Io`] if `/proc` can't be read.
 pub async fn measure_links(
     set: &ScaleSet,
     index: usize,
@@ -79,7 +80,7 @@
     })
 }
 
-/// Both sides over some time.
+/// The resource use of both sides over one measurement.
 struct LinkSample {
     server_percent: f64,
     client_percent: f64,
@@ -113,8 +114,8 @@
 
 async fn open_link(set: &ScaleSet, index: usize) -> Result<WsClient, SetFault> {
     let pings = PingConfig::new()
-        .ping_interval(PING_EVERY)
-        .inactive_limit(PING_PATIENCE)
+        .ping_interval(PING_INTERVAL)
+        .inactive_limit(PING_INACTIVITY_LIMIT)
         .max_failures(1);
     let url = format!("ws://{}", set.nodes[index].peers);
     let client = WsClientBuilder::default().enable_ws_ping(pings);
--- a/crates/lab/src/scale_path.rs
+++ b/crates/lab/src/scale_path.rs
@@ -1,5 +1,5 @@
-//! Measures what one statement costs at the gateway, the leaseholder and a standby, what the path
-//! adds to its latency, and what an idle connection costs at the gateway.
+//! Measures the processor time that a statement takes at the gateway, the leaseholder and a standby, the
+//! latency that the path through them adds, and the cost of idle links and connections.
 
 use crate::caller::CallerSettings;
 use crate::caller::GatewayCaller;
@@ -28,48 +28,51 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-/// The VMs: control, leaseholder, standbys and a gateway are all different ones.
+/// The number of VMs: enough for control, leaseholder, standbys and gateway to be different ones.
 const VMS: usize = 10;
+/// The number of control VMs.
 const CONTROL_VMS: usize = 3;
 
-/// Groups to choose from until one is led by a plain member.
+/// The number of groups, so that a plain member is likely to be leaseholder of one of them.
 const GROUPS: usize = 6;
 
-/// So many slots that the endpoints aren't what limits the path.
+/// The number of slots of an endpoint, enough for the endpoints not to be the bottleneck.
 const SLOTS: u32 = 16;
 
+/// The customer's name.
 const CUSTOMER: &str = "path";
+/// The number of sessions of the load through the gateway.
 const SESSIONS: usize = 200;
 
-/// Sessions of the direct load: each is a connection of its own, and the primary takes no more
-/// than 128, some of them the leaseholder's.
+/// The number of sessions of the direct load. Each has its own connection, and the primary accepts 128
+/// at most, including those of the leaseholder.
 const DIRECT_SESSIONS: usize = 64;
 
-/// Idle links to open: about as many as a VM has to others in two years.
-const LINKS: usize = 600;
+/// The number of idle links to open: about the number of other VMs that the users expect in two years.
+const IDLE_LINKS: usize = 600;
 
-/// Limits of the customer that no run meets.
-const OPEN_LIMIT: u32 = 100_000;
+/// The value of the customer's limits, which no run reaches.
+const UNREACHED_LIMIT: u32 = 100_000;
 
-/// How long new connections settle before their memory is read.
+/// The time to let connections settle before memory is measured.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
 
-/// What to measure.
+/// The settings of a measurement.
 #[derive(Clone, Debug)]
 pub struct PathSettings {
-    /// The folder of the binary `ragwortgated`.
+    /// The folder with the binary `ragwortgated`.
     pub binaries: PathBuf,
-    /// Statements per second, one run for each.
+    /// The rates of the runs, in statements per second.
     pub rates: Vec<usize>,
-    /// The classes.
+    /// The mix of request classes.
     pub mix: LoadMix,
-    /// How long each run is.
+    /// The duration of each run.
     pub time: Duration,
-    /// Idle connections to open.
+    /// The number of idle connections to open.
     pub connections: usize,
 }
 
-/// Who does what for the measured group.
+/// The measured group, and the indices of the VMs that have a role for it.
 struct PathRoles {
     group: usize,
     gateway: usize,
@@ -77,7 +80,7 @@
     standby: usize,
 }
 
-/// One run at one rate.
+/// The measurements of a run at one rate; percentages are of one core.
 #[derive(Clone, Debug)]
 struct PathRun {
     rate: f64,
@@ -87,7 +90,7 @@
     report: LoadReport,
 }
 
-/// All that was measured.
+/// The results of all measurements.
 #[derive(Clone, Debug)]
 pub struct PathReport {
     runs: Vec<PathRun>,
@@ -119,7 +122,7 @@
                 .map(|run| (run.rate, measure(run)))
                 .collect();
             if let Some(line) = LineFit::through(&points) {
-                // One percent of a core is 10,000 microseconds in a second.
+                // One percent of a core is 10,000 microseconds per second.
                 let micros = line.slope * 1e4;
                 writeln!(
                     formatter,
@@ -139,6 +142,7 @@
     }
 }
 
+/// A VM's role on the path, and its processor time in a run, in percent of one core.
 type PathMeasure = (&'static str, fn(&PathRun) -> f64);
 
 /// Starts a set, measures the path through it and stops it.
@@ -153,16 +157,16 @@
         control: CONTROL_VMS,
         groups: GROUPS,
         slots: SLOTS,
-        service: Duration::ZERO,
-        phase: settings.time,
+        service_time: Duration::ZERO,
+        phase_time: settings.time,
         heartbeat_ms: 200,
         lease_ms: 1_000,
         tick_ms: 20,
         keep_folder: false,
     })
     .await?;
-    let roles = find_roles(&set, &set.look().await?)?;
-    open_contract(&set, roles.group).await?;
+    let roles = find_roles(&set, &set.control_status().await?)?;
+    apply_unlimited_contract(&set, roles.group).await?;
     let mut runs = Vec::new();
     for rate in &settings.rates {
         runs.push(measure_rate(&set, &roles, &settings, *rate).await?);
@@ -173,7 +177,7 @@
     let mut direct = load_settings(&settings, primary, roles.group, rate, "direct");
     direct.sessions = DIRECT_SESSIONS;
     let direct = run_load(&direct, &StopFlag::default()).await;
-    let link = measure_links(&set, roles.gateway, LINKS, settings.time).await?;
+    let link = measure_links(&set, roles.gateway, IDLE_LINKS, settings.time).await?;
     let connection_bytes = measure_connections(&set, &roles, settings.connections).await?;
     set.stop().await?;
     Ok(PathReport {
@@ -185,7 +189,8 @@
     })
 }
 
-/// Finds a group that a plain member leads, and a plain member that has nothing to do with it.
+/// Selects a group whose leaseholder is a plain member, and as its gateway a plain member that is neither
+/// leaseholder nor standby of the group.
 fn find_roles(set: &ScaleSet, status: &NodeStatus) -> Result<PathRoles, SetFault> {
     let index_of = |vm: &str| set.nodes.iter().position(|node| node.vm == vm);
     for group in 0..GROUPS {
@@ -221,11 +226,11 @@
     ))
 }
 
-async fn open_contract(set: &ScaleSet, group: usize) -> Result<(), SetFault> {
+async fn apply_unlimited_contract(set: &ScaleSet, group: usize) -> Result<(), SetFault> {
     let mut contract = build_contract(CUSTOMER.into(), vec![group_name(group).as_str().into()]);
-    contract.connection_limit = OPEN_LIMIT;
-    contract.queue_limit = OPEN_LIMIT;
-    contract.session_limit = OPEN_LIMIT;
+    contract.connection_limit = UNREACHED_LIMIT;
+    contract.queue_limit = UNREACHED_LIMIT;
+    contract.session_limit = UNREACHED_LIMIT;
     apply_contract(set.nodes[0].peers, contract).await
 }
 
@@ -241,7 +246,10 @@
     let before = PathSample::take(set, roles);
     let report = run_load(&load, &StopFlag::default()).await;
     let after = PathSample::take(set, roles);
-    let seconds = after.taken.duration_since(before.taken).as_secs_f64();
+    let seconds = after
+        .sampled_at
+        .duration_since(before.sampled_at)
+        .as_secs_f64();
     let percent = |after: ProcessUse, before: ProcessUse| {
         (after.processor - before.processor).as_secs_f64() / seconds * 100.0
     };
@@ -256,7 +264,7 @@
 }
 
 struct PathSample {
-    taken: Instant,
+    sampled_at: Instant,
     gateway: ProcessUse,
     leaseholder: ProcessUse,
     standby: ProcessUse,
@@ -266,7 +274,7 @@
     fn take(set: &ScaleSet, roles: &PathRoles) -> Self {
         let read = |index: usize| set.nodes[index].read_use().unwrap_or_default();
         Self {
-            taken: Instant::now(),
+            sampled_at: Instant::now(),
             gateway: read(roles.gateway),
             leaseholder: read(roles.leaseholder),
             standby: read(roles.standby),
@@ -300,6 +308,7 @@
     }
 }
 
+/// Returns the gateway's resident memory per idle connection, in bytes.
 async fn measure_connections(
     set: &ScaleSet,
     roles: &PathRoles,
@@ -328,7 +337,7 @@
     let mut text = String::new();
     for (class, one) in &report.classes {
         let counts = one.counts;
-        // A string takes every write.
+        // Writing to a string can't fail.
         let _ = writeln!(
             text,
             "  {:<8} sent {} in time {} late {} refused {} in doubt {} failed {} unanswered {} \
