--- a/crates/lab/src/scale_report.rs
+++ b/crates/lab/src/scale_report.rs
@@ -1,19 +1,19 @@
-//! What `scale` has measured, and the straight lines through it.
+//! The report of the subcommand `scale`, and linear fits that extrapolate it to more VMs.
 
 use serde::Serialize;
 use std::fmt;
 
-/// The number of nodes that the users expect in two years.
+/// The number of VMs that the users expect in two years.
 pub const TARGET_VMS: f64 = 630.0;
 
-/// The bytes of TCP and IP headers that one segment brings: 20 for IP, 32 for TCP with time stamps.
-/// An acknowledgement of its own has as many again.
+/// The number of header bytes of a segment: 20 for IP and 32 for TCP with timestamps. A separate
+/// acknowledgement has the same size.
 const SEGMENT_HEADER_BYTES: f64 = 52.0;
 
-/// What a node does for control.
+/// The role of a node in the control group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub enum NodeRole {
-    /// The control VM that leads.
+    /// The control VM that is the leader.
     Leader,
     /// Another control VM.
     Follower,
@@ -21,70 +21,71 @@
     Member,
 }
 
-/// What a run does while it is measured.
+/// The activity during a measurement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub enum ScalePhase {
-    /// Nothing.
+    /// No activity.
     Idle,
-    /// One contract change a second.
+    /// One contract change per second.
     Changes,
 }
 
-/// What the nodes of one role have used.
+/// The resource use of the nodes of one role.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct RoleUse {
     /// The role.
     pub role: NodeRole,
-    /// How many nodes have it.
+    /// The number of nodes with the role.
     pub nodes: usize,
-    /// Processor time as a share of one core, in percent; the mean of the nodes.
+    /// The mean processor time of a node, in percent of one core.
     pub core_percent: f64,
-    /// The same of the busiest node.
+    /// The maximum processor time of a node, in percent of one core.
     pub worst_core_percent: f64,
-    /// Resident memory in megabytes; the mean of the nodes.
+    /// The mean resident memory of a node, in megabytes.
     pub resident_mb: f64,
-    /// The same of the largest node.
+    /// The maximum resident memory of a node, in megabytes.
     pub worst_resident_mb: f64,
-    /// Bytes per second and node for control, both ways, without headers of TCP and IP. A
-    /// leader's and a follower's are the mean of all control VMs.
+    /// The mean control traffic of a node in both directions, in payload bytes per second. For the
+    /// leader and the followers it is the mean of all control VMs.
     pub control_bytes: f64,
-    /// Reads per second and node in which they came.
+    /// The mean number of reads per second and node in which that traffic arrived.
     pub control_reads: f64,
 }
 
 impl RoleUse {
-    /// Returns the bytes with headers, if each read was one segment that was acknowledged apart.
+    /// Returns the control traffic in bytes per second including headers, under the assumption that
+    /// each read was one segment with a separate acknowledgement.
     pub fn wire_bytes(&self) -> f64 {
         self.control_bytes + self.control_reads * SEGMENT_HEADER_BYTES * 2.0
     }
 }
 
-/// One phase of a run.
+/// The report of one phase of a run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PhaseReport {
     /// The phase.
     pub phase: ScalePhase,
-    /// How long it was, in seconds.
+    /// The duration of the phase, in seconds.
     pub seconds: f64,
-    /// Whether another control VM led at its end; its figures mix roles then.
+    /// Whether the leader changed during the phase, in which case the figures mix roles.
     pub leader_changed: bool,
-    /// The roles.
+    /// The resource use of each role.
     pub roles: Vec<RoleUse>,
 }
 
-/// Times of one kind, in milliseconds.
+/// The measured durations of one operation, in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct TimeList(pub Vec<f64>);
 
 impl TimeList {
-    /// Returns the median, if there is any time.
+    /// Returns the median, or `None` if the list is empty.
     pub fn median(&self) -> Option<f64> {
         let mut sorted = self.0.clone();
         sorted.sort_by(f64::total_cmp);
         sorted.get(sorted.len() / 2).copied()
     }
 
-    /// Returns the longest, if there is any time.
+    /// Returns the maximum, or `None` if the list is empty.
     pub fn worst(&self) -> Option<f64> {
         self.0.iter().copied().max_by(f64::total_cmp)
     }
@@ -103,24 +104,25 @@
     }
 }
 
-/// The report of one number of VMs.
+/// The report of a run with one number of VMs.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ScaleReport {
-    /// The VMs.
+    /// The number of VMs.
     pub vms: usize,
-    /// The control VMs among them.
+    /// The number of control VMs among them.
     pub control: usize,
-    /// The groups.
+    /// The number of groups.
     pub groups: usize,
-    /// From the start of the first process until every VM was ready, in seconds.
+    /// The time from the start of the first process until all VMs were ready and all groups placed, in
+    /// seconds.
     pub ready_seconds: f64,
-    /// The phases.
+    /// The reports of the phases.
     pub phases: Vec<PhaseReport>,
-    /// From sending a contract change until it was accepted.
+    /// The times from sending a contract change to its acceptance.
     pub accepted: TimeList,
-    /// From a contract change's acceptance until it was in force everywhere.
+    /// The times from a contract change's acceptance until it was in force on all members.
     pub in_force: TimeList,
-    /// From the kill of a VM until it was no member and led no group.
+    /// The times from killing a VM until it was no longer a member or the leaseholder of a group.
     pub removed: TimeList,
 }
 
@@ -165,17 +167,17 @@
     }
 }
 
-/// A straight line by least squares.
+/// A linear least-squares fit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct LineFit {
-    /// The value at zero.
+    /// The value at zero (intercept).
     pub start: f64,
-    /// The rise for each step of one.
+    /// The slope.
     pub slope: f64,
 }
 
 impl LineFit {
-    /// Fits a line through points; `None` with fewer than two different places.
+    /// Fits a line to points `(x, y)`; returns `None` if they have fewer than two different x values.
     pub fn through(points: &[(f64, f64)]) -> Option<Self> {
         let count = points.len() as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
@@ -192,13 +194,13 @@
         })
     }
 
-    /// Returns the line's value at a place.
-    pub fn at(&self, place: f64) -> f64 {
-        self.start + self.slope * place
+    /// Returns the line's value at `x`.
+    pub fn at(&self, x: f64) -> f64 {
+        self.start + self.slope * x
     }
 }
 
-/// What a line is drawn through.
+/// The quantity that a line is fitted to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RoleMeasure {
     CorePercent,
@@ -216,7 +218,8 @@
     }
 }
 
-/// Describes the lines through several reports over their numbers of VMs.
+/// Fits each quantity of each role and phase over the numbers of VMs of several reports, and describes the
+/// lines with their values at [`TARGET_VMS`].
 pub fn describe_slopes(reports: &[ScaleReport]) -> String {
     let mut text = String::new();
     for phase in [ScalePhase::Idle, ScalePhase::Changes] {
--- a/crates/lab/src/scale_set.rs
+++ b/crates/lab/src/scale_set.rs
@@ -1,8 +1,8 @@
-//! A set of daemons without delays or fault relays, for measuring what a node costs.
+//! A set of daemon processes without delays or faults, for measuring the cost of a node.
 //!
-//! Each control VM stands behind two relays that count bytes: one for plain members, one for the
-//! other control VMs. The kernel's counters of the loopback device would count the tests of
-//! everybody else on the machine as well.
+//! Each control VM is behind two relays that count traffic: one for plain members, one for the other
+//! control VMs. The kernel's counters of the loopback device are no alternative, as they include the
+//! traffic of all other processes on the machine.
 
 use crate::endpoint::EndpointSettings;
 use crate::endpoint::LabEndpoint;
@@ -25,75 +25,75 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
-/// The failure domains of the size in two years.
+/// The number of failure domains that the users expect in two years.
 const DOMAINS: usize = 5;
 
-/// The pause between two starts, so that a busy machine's processes don't all start at once.
+/// The pause between starts of plain members, so that a busy machine doesn't start all processes at once.
 const START_PAUSE: Duration = Duration::from_millis(20);
 
-/// The pause between two looks.
-pub(crate) const LOOK_PAUSE: Duration = Duration::from_millis(20);
+/// The interval at which the set's status is polled.
+pub(crate) const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long one look may take.
-const LOOK_PATIENCE: Duration = Duration::from_secs(2);
+/// The timeout of a status request.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long the set may take to be ready.
-const READY_PATIENCE: Duration = Duration::from_secs(120);
+/// The timeout for the set to reach a required state.
+const READY_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// How long all processes together may take to end.
-const END_PATIENCE: Duration = Duration::from_secs(30);
+/// The timeout for all processes together to end after SIGTERM.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Instances of a group.
+/// The number of instances of a group.
 const INSTANCES: usize = 3;
 
-/// Connections that an instance takes for each slot, as at the users' today.
+/// The ratio between an instance's connections and slots, as at the users' present sites.
 const CONNECTIONS_PER_SLOT: u32 = 8;
 
-/// The most processes that a run starts.
-pub const MOST_VMS: usize = 200;
+/// The maximum number of VMs, and thus of daemon processes.
+pub const MAX_VMS: usize = 200;
 
-/// What to start.
+/// The settings of a set.
 #[derive(Clone, Debug)]
 pub struct ScaleSettings {
-    /// The folder of the binary `ragwortgated`.
+    /// The folder with the binary `ragwortgated`.
     pub binaries: PathBuf,
-    /// The VMs.
+    /// The number of VMs.
     pub vms: usize,
-    /// The control VMs among them.
+    /// The number of control VMs among them.
     pub control: usize,
-    /// The groups, of three instances each, which run in this process.
+    /// The number of groups, each of three instances that run in this process.
     pub groups: usize,
-    /// Statements that an instance runs at once.
+    /// The number of statements that an instance runs concurrently.
     pub slots: u32,
-    /// How long a statement takes at an instance.
-    pub service: Duration,
-    /// How long each phase is measured.
-    pub phase: Duration,
-    /// Milliseconds between a member's heartbeats.
+    /// The time that a statement takes at an instance.
+    pub service_time: Duration,
+    /// The duration of each measured phase.
+    pub phase_time: Duration,
+    /// The interval between a member's heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Milliseconds that a lease runs.
+    /// The duration of a lease, in milliseconds.
     pub lease_ms: u64,
-    /// The step of the control VMs' clock, in milliseconds.
+    /// The tick interval of the control VMs' clock, in milliseconds.
     pub tick_ms: u64,
-    /// Keep the folder with logs.
+    /// Whether to keep the folder with logs when the set is dropped.
     pub keep_folder: bool,
 }
 
 /// A daemon of the set.
 #[derive(Debug)]
 pub struct ScaleNode {
-    /// The VM's name.
+    /// The name of the VM.
     pub vm: String,
-    /// Where it answers other VMs and operators.
+    /// The address for other VMs and operators.
     pub peers: SocketAddr,
-    /// Where callers connect.
+    /// The address for callers.
     pub callers: SocketAddr,
     platform: SocketAddr,
     child: Option<ChildProcess>,
 }
 
 impl ScaleNode {
-    /// Reads the process's use of the machine; `None` if it doesn't run.
+    /// Reads the resource use of the process; `None` if it isn't running.
     pub fn read_use(&self) -> Option<ProcessUse> {
         ProcessUse::read(self.child.as_ref()?.id()).ok()
     }
@@ -103,7 +103,7 @@
         self.child = None;
     }
 
-    /// Says whether the process was started and not killed.
+    /// Returns whether the process was started and not killed.
     pub fn is_started(&self) -> bool {
         self.child.is_some()
     }
@@ -112,7 +112,7 @@
 /// A running set; dropping it kills all its processes.
 #[derive(Debug)]
 pub struct ScaleSet {
-    /// What was started.
+    /// The settings that the set was started with.
     pub settings: ScaleSettings,
     /// The daemons; control VMs first.
     pub nodes: Vec<ScaleNode>,
@@ -123,20 +123,20 @@
 }
 
 impl ScaleSet {
-    /// Starts everything and waits until each VM is ready and each group is placed.
+    /// Starts all processes and waits until all VMs are ready and all groups are placed.
     ///
     /// # Errors
     ///
     /// Returns the first [`SetFault`].
     pub async fn start(settings: ScaleSettings) -> Result<Self, SetFault> {
-        if settings.vms > MOST_VMS || settings.control == 0 || settings.control > settings.vms {
-            let reason = format!("1 to {MOST_VMS} VMs, at least one of them for control");
+        if settings.vms > MAX_VMS || settings.control == 0 || settings.control > settings.vms {
+            let reason = format!("expected 1 to {MAX_VMS} VMs, at least one of them a control VM");
             return Err(SetFault::Refused(reason));
         }
         let folder = std::env::temp_dir().join(format!("ragwort-scale-{}", std::process::id()));
         fs::create_dir_all(&folder)?;
         let mut set = Self {
-            nodes: (0..settings.vms).map(lay_out_node).collect(),
+            nodes: (0..settings.vms).map(prepare_node).collect(),
             settings,
             folder,
             member_relays: Vec::new(),
@@ -148,7 +148,7 @@
         for index in 0..control {
             set.start_node(index)?;
         }
-        form_control(set.nodes[0].peers, READY_PATIENCE).await?;
+        form_control(set.nodes[0].peers, READY_TIMEOUT).await?;
         for index in control..set.nodes.len() {
             set.start_node(index)?;
             sleep(START_PAUSE).await;
@@ -158,49 +158,53 @@
         Ok(set)
     }
 
-    /// Asks the first control VM for its view.
+    /// Returns the first control VM's view of the deployment.
     ///
     /// # Errors
     ///
-    /// Returns [`SetFault::Call`] if it doesn't answer.
-    pub async fn look(&self) -> Result<NodeStatus, SetFault> {
-        match timeout(LOOK_PATIENCE, ask_node_status(self.nodes[0].peers)).await {
+    /// Returns [`SetFault::Call`] if the call fails, or [`SetFault::NotReady`] if it times out.
+    pub async fn control_status(&self) -> Result<NodeStatus, SetFault> {
+        match timeout(STATUS_TIMEOUT, ask_node_status(self.nodes[0].peers)).await {
             Ok(status) => Ok(status?),
             Err(_) => Err(SetFault::NotReady(vec![self.nodes[0].vm.clone()])),
         }
     }
 
-    /// Looks until the first control VM's view is as wanted.
+    /// Waits until a condition holds for the first control VM's view.
     ///
     /// # Errors
     ///
-    /// Returns [`SetFault::NotWhole`] with what was wanted if it takes too long.
+    /// Returns [`SetFault::NotWhole`] with the description `condition` if it doesn't hold in time.
     pub async fn wait_for(
         &self,
-        wanted: &str,
-        is_reached: impl Fn(&NodeStatus) -> bool,
+        condition: &str,
+        holds: impl Fn(&NodeStatus) -> bool,
     ) -> Result<(), SetFault> {
-        let end = Instant::now() + READY_PATIENCE;
+        let end = Instant::now() + READY_TIMEOUT;
         while Instant::now() < end {
-            if self.look().await.is_ok_and(|status| is_reached(&status)) {
+            if self
+                .control_status()
+                .await
+                .is_ok_and(|status| holds(&status))
+            {
                 return Ok(());
             }
-            sleep(LOOK_PAUSE).await;
+            sleep(STATUS_POLL_INTERVAL).await;
         }
-        Err(SetFault::NotWhole(wanted.to_owned()))
+        Err(SetFault::NotWhole(condition.to_owned()))
     }
 
-    /// Returns what plain members have exchanged with control VMs so far.
+    /// Returns the traffic between plain members and control VMs so far.
     pub fn member_traffic(&self) -> RelayTraffic {
         add_traffic(&self.member_relays)
     }
 
-    /// Returns what control VMs have exchanged with each other so far.
+    /// Returns the traffic between control VMs so far.
     pub fn control_traffic(&self) -> RelayTraffic {
         add_traffic(&self.control_relays)
     }
 
-    /// Returns where a group's primary takes statements, if it has one.
+    /// Returns the data address of a group's primary, if it has one.
     pub fn primary_address(&self, group: usize) -> Option<SocketAddr> {
         let instances = self
             .endpoints
@@ -212,20 +216,20 @@
         primaries.next().map(LabEndpoint::data_address)
     }
 
-    /// Ends every process in good order.
+    /// Shuts all processes down gracefully.
     ///
     /// # Errors
     ///
-    /// Returns [`SetFault::BadEnd`] with the processes that didn't exit with 0 in time.
+    /// Returns [`SetFault::BadEnd`] with the processes that didn't exit with status 0 in time.
     pub async fn stop(mut self) -> Result<(), SetFault> {
-        let taken = self.nodes.iter_mut().map(|node| node.child.take());
-        let mut children: Vec<ChildProcess> = taken.flatten().collect();
-        // Members first: they leave the membership through control.
+        let running = self.nodes.iter_mut().map(|node| node.child.take());
+        let mut children: Vec<ChildProcess> = running.flatten().collect();
+        // Plain members come first, as they need the control VMs to leave the membership.
         children.reverse();
         for child in &mut children {
             child.terminate()?;
         }
-        let end = Instant::now() + END_PATIENCE;
+        let end = Instant::now() + EXIT_TIMEOUT;
         let mut faults = Vec::new();
         for child in &mut children {
             let left = end.saturating_duration_since(Instant::now());
@@ -272,6 +276,7 @@
         Ok(())
     }
 
+    /// Returns the text of a daemon's settings file.
     fn write_settings(&self, index: usize) -> String {
         let node = &self.nodes[index];
         let is_control = index < self.settings.control;
@@ -310,28 +315,28 @@
         &self,
         group: usize,
         number: usize,
-        given: SocketAddr,
+        daemon_address: SocketAddr,
     ) -> EndpointSettings {
         let name = group_name(group);
         EndpointSettings {
             group: name.as_str().into(),
             domain: domain_name(group + number).as_str().into(),
-            announce: vec![given],
+            announce: vec![daemon_address],
             slots: self.settings.slots,
             connections: self.settings.slots * CONNECTIONS_PER_SLOT,
-            service_time: self.settings.service,
+            service_time: self.settings.service_time,
             ..EndpointSettings::quick(&format!("{name}-{}", number + 1), number == 0)
         }
     }
 
     async fn wait_until_ready(&self) -> Result<(), SetFault> {
-        let end = Instant::now() + READY_PATIENCE;
+        let end = Instant::now() + READY_TIMEOUT;
         let mut waiting: Vec<&ScaleNode> = self.nodes.iter().collect();
         while !waiting.is_empty() {
             let mut unready = Vec::new();
             for node in waiting {
                 if !matches!(
-                    timeout(LOOK_PATIENCE, is_ready(node.platform)).await,
+                    timeout(STATUS_TIMEOUT, is_ready(node.platform)).await,
                     Ok(true)
                 ) {
                     unready.push(node);
@@ -342,7 +347,7 @@
                 return Err(SetFault::NotReady(names.collect()));
             }
             waiting = unready;
-            sleep(LOOK_PAUSE).await;
+            sleep(STATUS_POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -350,8 +355,8 @@
     async fn start_groups(&mut self) -> Result<(), SetFault> {
         for group in 0..self.settings.groups {
             for number in 0..INSTANCES {
-                let given = self.nodes[(group + number) % self.nodes.len()].peers;
-                let settings = self.describe_endpoint(group, number, given);
+                let daemon_address = self.nodes[(group + number) % self.nodes.len()].peers;
+                let settings = self.describe_endpoint(group, number, daemon_address);
                 self.endpoints.push(LabEndpoint::start(&settings).await?);
             }
         }
@@ -374,13 +379,13 @@
     fn drop(&mut self) {
         self.nodes.clear();
         if !self.settings.keep_folder {
-            // The folder may be gone already; what is left of it harms nobody.
+            // A failure is ignored: it leaves only temporary files behind.
             let _ = fs::remove_dir_all(&self.folder);
         }
     }
 }
 
-fn lay_out_node(index: usize) -> ScaleNode {
+fn prepare_node(index: usize) -> ScaleNode {
     ScaleNode {
         vm: format!("vm-{:03}", index + 1),
         peers: pick_address(),
@@ -390,7 +395,7 @@
     }
 }
 
-/// Returns the name of the group with this number, counted from zero.
+/// Returns the name of the group with this index, counted from 0.
 pub fn group_name(number: usize) -> String {
     format!("group-{:03}", number + 1)
 }
--- a/crates/lab/src/set_calls.rs
+++ b/crates/lab/src/set_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the processes of a set: operators', agents' and the platform's.
+//! Calls to the processes of a set: the operator, agent and platform APIs.
 
 use jsonrpsee::core::ClientError;
 use jsonrpsee_http_client::HttpClient;
@@ -23,33 +23,33 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-/// The pause between attempts.
+/// The pause between attempts of a call that is retried.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// How long a contract may take to be in force, while control settles.
-const CONTRACT_PATIENCE: Duration = Duration::from_secs(20);
+/// The timeout for a contract to be in force, which includes the first election of a control leader.
+const CONTRACT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Why a set could not be brought into the wanted state.
+/// The reason for which a set could not be brought into the required state.
 #[derive(Debug)]
 pub enum SetFault {
-    /// A file, process or socket failed.
+    /// An operation on a file, process or socket failed.
     Io(io::Error),
-    /// A call's address or answer is unusable.
+    /// A call failed, or its address is invalid.
     Call(ClientError),
-    /// These VMs aren't ready.
+    /// These VMs weren't ready in time.
     NotReady(Vec<String>),
-    /// A group isn't whole; what was seen last.
+    /// A group wasn't whole in time, for this reason; see [`crate::lab_queries`].
     NotWhole(String),
-    /// An operator's call was refused for good; the reason.
+    /// A request was rejected or not fulfilled in time, for this reason.
     Refused(String),
-    /// These processes ended badly.
+    /// These processes didn't exit with status 0 in time.
     BadEnd(Vec<String>),
 }
 
 impl fmt::Display for SetFault {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Io(error) => write!(formatter, "input or output failed: {error}"),
+            Self::Io(error) => write!(formatter, "I/O error: {error}"),
             Self::Call(error) => write!(formatter, "call failed: {error}"),
             Self::NotReady(vms) => write!(formatter, "not ready: {}", vms.join(", ")),
             Self::NotWhole(seen) => write!(formatter, "group not whole: {seen}"),
@@ -73,26 +73,26 @@
     }
 }
 
-/// Creates a client for calls to a daemon or an agent.
+/// Creates an RPC client for a daemon or an agent.
 ///
 /// # Errors
 ///
-/// Returns the [`ClientError`] of an address that can't be used.
+/// Returns a [`ClientError`] if the client can't be built for the address.
 pub fn agent_client(address: SocketAddr) -> Result<HttpClient, ClientError> {
     HttpClient::builder().build(format!("http://{address}"))
 }
 
-/// Asks a daemon's platform port whether it is ready.
+/// Returns whether a daemon's platform port reports that the daemon is ready.
 pub async fn is_ready(platform: SocketAddr) -> bool {
     let answer = ask_platform(platform, "/ready").await;
     answer.is_ok_and(|answer| answer.starts_with("HTTP/1.1 200"))
 }
 
-/// Asks a daemon's platform port and returns the answer, headers included.
+/// Sends an HTTP GET request to a daemon's platform port and returns the response, including headers.
 ///
 /// # Errors
 ///
-/// Returns the [`io::Error`] of the connection.
+/// Returns an [`io::Error`] if the connection fails.
 pub async fn ask_platform(platform: SocketAddr, path: &str) -> io::Result<String> {
     let mut stream = TcpStream::connect(platform).await?;
     let request = format!("GET {path} HTTP/1.1\r\nHost: {platform}\r\nConnection: close\r\n\r\n");
@@ -102,31 +102,31 @@
     Ok(String::from_utf8_lossy(&answer).into_owned())
 }
 
-/// Asks an agent for its instance's status.
+/// Requests the status of an instance from its agent.
 ///
 /// # Errors
 ///
-/// Returns the [`ClientError`] of the call.
+/// Returns a [`ClientError`] if the call fails.
 pub async fn ask_instance_status(agent: SocketAddr) -> Result<InstanceStatus, ClientError> {
     AgentApiClient::status(&agent_client(agent)?).await
 }
 
-/// Asks a daemon for its view of the system.
+/// Requests a daemon's view of the deployment.
 ///
 /// # Errors
 ///
-/// Returns the [`ClientError`] of the call.
+/// Returns a [`ClientError`] if the call fails.
 pub async fn ask_node_status(peers: SocketAddr) -> Result<NodeStatus, ClientError> {
     OperatorApiClient::status(&agent_client(peers)?).await
 }
 
-/// Forms control, trying until the control VMs are up.
+/// Forms the control group, and retries until the control VMs are running.
 ///
 /// # Errors
 ///
-/// Returns [`SetFault::Refused`] with the last reason after `patience`.
-pub async fn form_control(peers: SocketAddr, patience: Duration) -> Result<(), SetFault> {
-    let end = Instant::now() + patience;
+/// Returns [`SetFault::Refused`] with the last reason if no attempt has succeeded after `max_wait`.
+pub async fn form_control(peers: SocketAddr, max_wait: Duration) -> Result<(), SetFault> {
+    let end = Instant::now() + max_wait;
     let client = agent_client(peers)?;
     loop {
         let reason = match client.form().await {
@@ -145,9 +145,9 @@
 ///
 /// # Errors
 ///
-/// Returns [`SetFault::Refused`] if it is refused or not in force in time.
+/// Returns [`SetFault::Refused`] if the contract is rejected, or not in force within 20 s.
 pub async fn apply_contract(peers: SocketAddr, contract: CustomerContract) -> Result<(), SetFault> {
-    let end = Instant::now() + CONTRACT_PATIENCE;
+    let end = Instant::now() + CONTRACT_TIMEOUT;
     let client = agent_client(peers)?;
     let change = ContractChange {
         change_id: ChangeId::fresh(),
@@ -159,7 +159,7 @@
             Ok(CommandReply::Committed(CatalogOutcome::ContractAccepted(acceptance))) => {
                 match client.force_status(acceptance).await {
                     Ok(status) if status.in_force => return Ok(()),
-                    Ok(status) => format!("{} members lack it", status.waiting_for),
+                    Ok(status) => format!("{} members have not applied it", status.waiting_for),
                     Err(error) => error.to_string(),
                 }
             }
--- a/crates/lab/src/sizes.rs
+++ b/crates/lab/src/sizes.rs
@@ -1,33 +1,33 @@
-//! The users' sizes of today, by name.
+//! The sizes of the users' present sites, by name.
 
 use serde::Serialize;
 use std::time::Duration;
 
-/// The most control VMs that the lab starts.
-const CONTROL_VMS: usize = 3;
+/// The maximum number of control VMs in a set.
+const MAX_CONTROL_VMS: usize = 3;
 
 /// The size of one user's site.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct SiteSize {
     /// The site's name.
     pub name: &'static str,
-    /// The customer whose callers the lab plays.
+    /// The customer under whose name the load is sent.
     pub customer: &'static str,
-    /// The failure domains.
+    /// The names of the failure domains.
     pub domains: Vec<&'static str>,
-    /// The VMs that run a daemon.
+    /// The number of VMs that run a daemon.
     pub vms: usize,
-    /// The database groups.
+    /// The names of the database groups.
     pub groups: Vec<&'static str>,
-    /// Instances per group.
+    /// The number of instances in a group.
     pub instances: usize,
-    /// Statements that an instance runs at once.
+    /// The number of statements that an instance runs concurrently.
     pub slots: u32,
-    /// Connections that an instance takes.
+    /// The maximum number of connections to an instance.
     pub connections: u32,
-    /// Milliseconds that a connection takes to open.
+    /// The time that opening a connection takes, in milliseconds.
     pub connect_ms: u64,
-    /// Milliseconds that a statement takes; the lab's assumption.
+    /// The time that a statement takes, in milliseconds; an assumption of the test bench.
     pub service_ms: u64,
     /// The one-way delay between failure domains, in microseconds.
     pub domain_delay_us: u64,
@@ -36,7 +36,7 @@
 }
 
 impl SiteSize {
-    /// Returns Omuti's size.
+    /// Returns the size of the site Omuti.
     pub fn omuti() -> Self {
         Self {
             name: "omuti",
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Returns Sabarmati's size.
+    /// Returns the size of the site Sabarmati.
     pub fn sabarmati() -> Self {
         Self {
             name: "sabarmati",
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Returns the size with this name.
+    /// Returns the size of the site with this name, if there is one.
     pub fn find(name: &str) -> Option<Self> {
         [Self::omuti(), Self::sabarmati()]
             .into_iter()
@@ -81,22 +81,24 @@
 
     /// Returns the number of control VMs.
     pub fn control_vms(&self) -> usize {
-        CONTROL_VMS.min(self.vms)
+        MAX_CONTROL_VMS.min(self.vms)
     }
 
-    /// Returns the failure domain of the VM or instance with this number.
+    /// Returns the failure domain of the VM or instance with this index; domains are assigned
+    /// round-robin.
     pub fn domain(&self, number: usize) -> &'static str {
         self.domains[number % self.domains.len()]
     }
 
     /// Returns the one-way delay between failure domains.
     ///
-    /// The lab's sets put it in front of every endpoint, as if no daemon shared its domain.
+    /// A set applies it to the relays in front of all endpoints, as if no daemon were in the domain of
+    /// an endpoint.
     pub fn domain_delay(&self) -> Duration {
         Duration::from_micros(self.domain_delay_us)
     }
 
-    /// Returns the replicas' lag: a fetch crosses between failure domains and back.
+    /// Returns the replication lag: a fetch takes one round trip between failure domains.
     pub fn replica_lag(&self) -> Duration {
         Duration::from_micros(2 * self.domain_delay_us)
     }
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -1,7 +1,8 @@
-//! The soak: random faults against real processes while callers work and the oracle watches.
+//! A soak test: random faults against real processes under load, with the consistency check of
+//! [`crate::oracle`].
 //!
-//! The schedule of faults follows from the seed; what the processes make of it doesn't repeat
-//! exactly, as they run on a real machine.
+//! The seed determines the random draws of faults and load. Runs with the same seed still differ in
+//! detail, as the processes' timing isn't controlled.
 
 use crate::faults::FaultRequest;
 use crate::lab_set::LabSet;
@@ -19,89 +20,91 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-/// How long the group may take to be whole again after a fault.
-const WHOLE_PATIENCE: Duration = Duration::from_secs(30);
+/// The timeout for the group to be whole again after a fault.
+const WHOLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long daemons may take to be ready again after a fault.
-const READY_PATIENCE: Duration = Duration::from_secs(30);
+/// The timeout for the daemons to be ready again after a fault.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long a daemon may take to end after SIGTERM.
-const DRAIN_PATIENCE: Duration = Duration::from_secs(20);
+/// The timeout for a daemon to end after SIGTERM.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The load goes on for so long after the last fault has ended.
+/// The time for which the load continues after the last fault has ended.
 const QUIET_END: Duration = Duration::from_secs(5);
 
-/// A lag with which a replica is out of use for reads of the lab's age.
+/// A replication lag, in milliseconds, longer than the age that the load's status reads accept
+/// ([`crate::lab_contract::STATUS_AGE_MS`]).
 const LONG_LAG_MS: u64 = 2_500;
 
-/// A factor by which a slow endpoint is slower.
+/// The factor by which the service times of a slow endpoint are multiplied.
 const SLOW_FACTOR: u32 = 25;
 
-/// What a soak does.
+/// The settings of a soak.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SoakSettings {
-    /// The seed of load and faults.
+    /// The seed of the load and of the faults.
     pub seed: u64,
-    /// How long faults go on.
+    /// The duration of the fault injection.
     pub duration: Duration,
-    /// Requests per second.
+    /// The number of requests per second.
     pub rate: f64,
 }
 
-/// A fault of the soak.
+/// A fault, with the index of the endpoint or daemon that it affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SoakFault {
     /// The endpoint is killed and replaced by an empty instance.
     KillEndpoint(usize),
-    /// The endpoint leaves in good order and is replaced by an empty instance.
+    /// The endpoint shuts down gracefully and is replaced by an empty instance.
     LeaveEndpoint(usize),
     /// The endpoint is frozen and thawed.
     FreezeEndpoint(usize),
-    /// The endpoint is cut off and joined again.
+    /// The endpoint is partitioned from all other processes for some time.
     CutEndpoint(usize),
-    /// The endpoint's open connections go silent for good.
+    /// The endpoint's open connections become silent for good.
     ForgetConnections(usize),
-    /// The endpoint is slow for a while.
+    /// The endpoint is slow for some time.
     SlowEndpoint(usize),
-    /// The replica pulls nothing for a while.
+    /// The replica fetches no log entries for some time.
     CutReplication(usize),
-    /// The replica lags for a while.
+    /// The replica lags for some time.
     LagReplica(usize),
-    /// The daemon is killed and started again.
+    /// The daemon is killed and restarted.
     KillDaemon(usize),
-    /// The daemon is asked to end and started again.
+    /// The daemon shuts down gracefully and is restarted.
     DrainDaemon(usize),
     /// The daemon is frozen and thawed.
     FreezeDaemon(usize),
-    /// The control VM is killed, loses its data folder and is started again.
+    /// The daemon of a control VM is killed and restarted without its data folder.
     LoseControlData(usize),
 }
 
-/// The result of a soak.
+/// The report of a soak.
 #[derive(Debug)]
 pub struct SoakReport {
-    /// The faults, in order.
+    /// The injected faults, in order.
     pub faults: Vec<SoakFault>,
-    /// What callers received, with broken promises.
+    /// The load's report, including violated consistency guarantees.
     pub load: LoadReport,
-    /// Lines of daemons' logs that tell of a broken invariant or a panic.
+    /// The lines of the daemons' logs that report a violated invariant or a panic.
     pub alarms: Vec<String>,
-    /// Faults after which the set wasn't whole or ready in time.
+    /// Descriptions of the faults after which the set wasn't whole and ready in time, or a daemon
+    /// didn't shut down cleanly.
     pub not_healed: Vec<String>,
 }
 
 impl SoakReport {
-    /// Returns whether nothing was wrong.
+    /// Returns whether there were no violations, no alarms and no timeouts.
     pub fn is_clean(&self) -> bool {
         self.load.violations.is_empty() && self.alarms.is_empty() && self.not_healed.is_empty()
     }
 }
 
-/// Runs a soak against a set that is up.
+/// Runs a soak against a running set.
 ///
 /// # Errors
 ///
-/// Returns the [`SetFault`] of a process that can't be started, frozen or ended.
+/// Returns a [`SetFault`] if a process can't be started, frozen or terminated.
 pub async fn run_soak(set: &mut LabSet, settings: &SoakSettings) -> Result<SoakReport, SetFault> {
     let group = set.group_names()[0];
     let load = LoadSettings {
@@ -129,13 +132,13 @@
         faults: Vec::new(),
         not_healed: Vec::new(),
     };
-    let (load, driven) = tokio::join!(run_load(&load, &stop), async {
-        let driven = driver.run(Instant::now() + settings.duration).await;
+    let (load, driver_outcome) = tokio::join!(run_load(&load, &stop), async {
+        let driver_outcome = driver.run(Instant::now() + settings.duration).await;
         sleep(QUIET_END).await;
         stop.set();
-        driven
+        driver_outcome
     });
-    driven?;
+    driver_outcome?;
     let (faults, not_healed) = (driver.faults, driver.not_healed);
     Ok(SoakReport {
         faults,
@@ -145,6 +148,7 @@
     })
 }
 
+/// Draws faults, injects them and waits for the recovery.
 struct FaultDriver<'a> {
     set: &'a mut LabSet,
     group: &'static str,
@@ -154,9 +158,10 @@
 }
 
 impl FaultDriver<'_> {
+    /// Injects one fault of an endpoint, one of a daemon, or both at a time, until the given time.
     async fn run(&mut self, end: Instant) -> Result<(), SetFault> {
         while Instant::now() < end {
-            self.heal(None).await;
+            self.wait_until_healed(None).await;
             let first = self.pick_endpoint_fault().await;
             let second = self.pick_daemon_fault();
             let (first, second) = match self.random.random_range(0..4) {
@@ -175,18 +180,19 @@
             for fault in both {
                 self.end(fault).await?;
             }
-            self.heal(self.faults.last().copied()).await;
+            self.wait_until_healed(self.faults.last().copied()).await;
             let pause = self.random.random_range(200..1_500);
             sleep(Duration::from_millis(pause)).await;
         }
         Ok(())
     }
 
-    /// Waits until the set is whole. Two instances that lose their data at once take acknowledged
-    /// writes with them whatever the proxy does, so the next fault comes only then.
-    async fn heal(&mut self, after: Option<SoakFault>) {
-        let ready = self.set.wait_until_ready(READY_PATIENCE).await;
-        let whole = self.set.wait_until_whole(self.group, WHOLE_PATIENCE).await;
+    /// Waits until the set is ready and the group whole, and records a timeout. The next fault must not
+    /// come earlier: if two instances lose their data at the same time, acknowledged writes are lost
+    /// whatever the proxy does.
+    async fn wait_until_healed(&mut self, after: Option<SoakFault>) {
+        let ready = self.set.wait_until_ready(READY_TIMEOUT).await;
+        let whole = self.set.wait_until_whole(self.group, WHOLE_TIMEOUT).await;
         for fault in [ready.err(), whole.err()].into_iter().flatten() {
             log::warn!("event=soak_not_healed after={after:?} seen=\"{fault}\"");
             self.not_healed.push(format!("after {after:?}: {fault}"));
@@ -197,7 +203,7 @@
         let endpoints = self.set.endpoints_of(self.group);
         let primary = self.set.find_primary(self.group).await;
         let any = endpoints[self.random.random_range(0..endpoints.len())];
-        // Faults of primaries matter most, so half of the faults are theirs.
+        // Faults of the primary test most of the failover code, so it is selected half of the time.
         let target = match self.random.random_bool(0.5) {
             true => primary.unwrap_or(any),
             false => any,
@@ -266,7 +272,7 @@
             }
             SoakFault::LoseControlData(index) => {
                 self.set.kill_daemon(index);
-                self.set.lose_data(index)?;
+                self.set.delete_data(index)?;
             }
         }
         Ok(())
@@ -310,12 +316,16 @@
         Ok(())
     }
 
-    /// Waits for the drained daemon's end, which must be a good one, and starts it again.
+    /// Waits until the draining daemon has ended, records an unsuccessful exit or a timeout, and restarts
+    /// the daemon.
     async fn end_drain(&mut self, index: usize) -> Result<(), SetFault> {
         if let Some(child) = self.set.daemon_child(index) {
-            let status = child.wait_for_end(DRAIN_PATIENCE).await?;
+            let status = child.wait_for_end(DRAIN_TIMEOUT).await?;
             if !status.is_some_and(|status| status.success()) {
-                let fault = format!("{} ended badly after SIGTERM: {status:?}", child.name());
+                let fault = format!(
+                    "{} did not exit cleanly after SIGTERM: {status:?}",
+                    child.name()
+                );
                 self.not_healed.push(fault);
             }
         }
@@ -324,6 +334,7 @@
     }
 }
 
+/// Returns the lines of the daemons' logs that report a panic or a violated invariant.
 fn find_alarms(set: &mut LabSet) -> Vec<String> {
     let mut alarms = Vec::new();
     for index in 0..set.daemons.len() {
--- a/crates/lab/src/statement.rs
+++ b/crates/lab/src/statement.rs
@@ -1,58 +1,61 @@
-//! The stand-in's commands: how a statement's text becomes a command.
+//! The command language of the endpoint stand-in, and its parser.
+//!
+//! A statement is a command word and its arguments, separated by white space, after any number of
+//! leading `/* */` comments.
 
 use std::fmt;
 
-/// A command of the stand-in.
+/// A parsed statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LabCommand {
-    /// Sets a key's value.
+    /// Replaces the value of a key.
     Put {
         /// The key.
         key: String,
         /// The value.
         value: String,
     },
-    /// Appends a value to a key's list.
+    /// Appends an element to the comma-separated list under a key.
     Append {
         /// The key.
         key: String,
-        /// The value.
+        /// The element.
         value: String,
     },
-    /// Reads a key.
+    /// Reads a key: one row, whose value is null if the key has none.
     Get {
         /// The key.
         key: String,
     },
-    /// Finds a key: one row if it has a value, else none.
+    /// Reads a key: one row if the key has a value, else no row.
     Find {
         /// The key.
         key: String,
     },
-    /// Holds a slot for some milliseconds.
+    /// Occupies a slot for some time.
     Sleep {
-        /// The time, in milliseconds.
+        /// The duration, in milliseconds.
         millis: u64,
     },
-    /// Opens a transaction.
+    /// Begins a transaction.
     Begin,
     /// Commits the transaction.
     Commit,
     /// Rolls the transaction back.
     Rollback,
-    /// Answers at once, for connection checks.
+    /// Answers at once without a slot (`select 1`), for connection checks.
     Ping,
-    /// Shows the instance's position, echoing the asker's identifier.
+    /// Returns the instance's log position and role, and echoes the identifier of the query.
     ShowPosition {
-        /// The identifier.
+        /// The identifier by which the client matches the answer to its query.
         id: String,
     },
 }
 
-/// A text that isn't a command.
+/// The error for a text that isn't a valid command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnknownCommand {
-    /// The first word, or nothing.
+    /// The first word of the text, or an empty string.
     pub word: String,
 }
 
@@ -63,7 +66,7 @@
 }
 
 impl LabCommand {
-    /// Parses a statement's text; words `$1`, `$2`, … are replaced by `parameters`.
+    /// Parses a statement's text and replaces the words `$1`, `$2`, … by `parameters`.
     ///
     /// # Examples
     ///
@@ -76,7 +79,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`UnknownCommand`] if the first word is no command or words are missing.
+    /// Returns [`UnknownCommand`] if the first word is not a command or an argument is missing or invalid.
     pub fn parse(text: &str, parameters: &[String]) -> Result<Self, UnknownCommand> {
         let body = strip_comments(text).trim().trim_end_matches(';');
         let words: Vec<&str> = body
@@ -115,7 +118,7 @@
         Ok(command)
     }
 
-    /// Returns the names of the columns that the command answers with.
+    /// Returns the names of the result's columns.
     pub fn columns(&self) -> &'static [&'static str] {
         match self {
             Self::Get { .. } | Self::Find { .. } => &["value"],
@@ -131,18 +134,18 @@
     }
 }
 
-/// Returns the names of the columns that a text answers with, whatever its parameters are.
+/// Returns the names of the result columns of a statement whose parameters aren't known yet.
 ///
 /// # Errors
 ///
-/// Returns [`UnknownCommand`] if the first word is no command or words are missing.
+/// Returns [`UnknownCommand`] if the first word is not a command or an argument is missing or invalid.
 pub fn describe_columns(text: &str) -> Result<&'static [&'static str], UnknownCommand> {
-    // A number fits wherever a word does.
+    // Any placeholder will do; a number is accepted for every argument.
     let parameters = vec!["0".to_owned(); count_parameters(text)];
     LabCommand::parse(text, &parameters).map(|command| command.columns())
 }
 
-/// Returns the number of parameters that a text refers to.
+/// Returns the number of parameters of a statement: the highest `$N` in it.
 pub fn count_parameters(text: &str) -> usize {
     strip_comments(text)
         .split_whitespace()
