--- a/crates/daemon/tests/connecting.rs
+++ b/crates/daemon/tests/connecting.rs
@@ -1,4 +1,4 @@
-//! Connections to VMs that return while somebody tries to reach them. Time is virtual.
+//! Racing connection attempts to VMs that restart. The clock is virtual.
 
 use ragwortgated::connecting::race_attempts;
 use std::cell::Cell;
@@ -7,11 +7,12 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
+/// The time limit of all attempts together.
 const LIMIT: Duration = Duration::from_millis(400);
 
-/// A VM gets its power back 120 ms after another one began to look for it. The first attempts are
-/// lost for good; the first one after the start is answered at once. Waiting for the lost ones, both
-/// VMs would stand still for another quarter of a second, and their callers with them.
+/// A VM starts 120 ms after another one began to connect to it. The attempts before that are never
+/// answered; the first one after it is answered at once. If the caller waited for the lost attempts, it
+/// would connect a quarter of a second later.
 #[tokio::test(start_paused = true)]
 async fn vm_that_returns_is_reached_by_the_next_attempt() {
     let began = Instant::now();
@@ -35,7 +36,7 @@
     assert_eq!(attempts.get(), 4);
 }
 
-/// A VM that answers within a round trip between regions is bothered by one attempt only.
+/// A VM that answers within a round trip between regions, 40 ms, gets one attempt only.
 #[tokio::test(start_paused = true)]
 async fn vm_that_answers_sees_one_attempt() {
     let attempts = Cell::new(0);
@@ -47,7 +48,7 @@
     assert_eq!(attempts.get(), 1);
 }
 
-/// Nobody answers. The caller is told when its time is up.
+/// No attempt is answered. The race ends with the limit.
 #[tokio::test(start_paused = true)]
 async fn silence_ends_with_the_limit() {
     let began = Instant::now();
--- a/crates/daemon/tests/drain.rs
+++ b/crates/daemon/tests/drain.rs
@@ -1,4 +1,4 @@
-//! A gateway that shuts down: what the balancer and new callers see.
+//! A gateway that shuts down, as seen by the load balancer and by new callers.
 
 use jsonrpsee_ws_client::WsClientBuilder;
 use ragwort_rpc::OperatorApiClient;
@@ -14,10 +14,10 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
-/// How long the test may take; one that gets there never ends.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// The time limit of the test. It only ends a test that hangs.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The settings of a VM alone that goes on taking callers long after it isn't ready any more.
+/// Creates the settings of a single VM that accepts callers for an hour after it has ceased to be ready.
 fn create_settings(ports: [u16; 3]) -> DaemonSettings {
     let folder = std::env::temp_dir().join(format!("ragwort-drain-{}", std::process::id()));
     let [callers, peers, platform] = ports;
@@ -40,6 +40,7 @@
     DaemonSettings::from_yaml(&text).unwrap()
 }
 
+/// Returns three free ports, for callers, peers and the platform.
 async fn free_ports() -> [u16; 3] {
     let mut ports = [0; 3];
     let mut listeners = Vec::new();
@@ -51,22 +52,23 @@
     ports
 }
 
-async fn ask(address: SocketAddr, request: &[u8]) -> Vec<u8> {
+/// Sends bytes over a new connection and returns everything up to its end; nothing if it is refused.
+async fn send_and_read(address: SocketAddr, request: &[u8]) -> Vec<u8> {
     let mut answer = Vec::new();
     if let Ok(mut stream) = TcpStream::connect(address).await
         && stream.write_all(request).await.is_ok()
     {
-        // A reset ends the answer as well.
+        // A reset ends the answer like a close.
         let _ = stream.read_to_end(&mut answer).await;
     }
     answer
 }
 
-/// Waits until the VM's readiness is answered with a status.
+/// Waits until the VM's readiness probe returns this HTTP status.
 async fn wait_for_ready(platform: SocketAddr, status: &str) {
     let request = b"GET /ready HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
     loop {
-        let answer = ask(platform, request).await;
+        let answer = send_and_read(platform, request).await;
         if String::from_utf8_lossy(&answer).starts_with(&format!("HTTP/1.1 {status}")) {
             return;
         }
@@ -74,17 +76,17 @@
     }
 }
 
-/// Connects as a customer without a contract, and returns the answer's text.
-async fn connect_as_stranger(callers: SocketAddr) -> String {
+/// Connects as a customer without a contract, and returns the answer as text.
+async fn connect_without_contract(callers: SocketAddr) -> String {
     let mut body = 196_608_u32.to_be_bytes().to_vec();
     body.extend(b"user\0stranger\0database\0cases\0\0");
     let mut startup = (body.len() as u32 + 4).to_be_bytes().to_vec();
     startup.extend(body);
-    String::from_utf8_lossy(&ask(callers, &startup).await).into_owned()
+    String::from_utf8_lossy(&send_and_read(callers, &startup).await).into_owned()
 }
 
-/// A VM is shut down, and the balancer in front of it probes once a second. Until it has noticed, it
-/// sends new callers here. They must be answered like any other caller, and not find a closed door.
+/// A VM shuts down, and the load balancer in front of it probes readiness once a second. Until it notices,
+/// it routes new callers to the VM. They must be served as before, and not be refused a connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn callers_are_taken_until_the_balancer_has_noticed() {
     let ports = free_ports().await;
@@ -103,12 +105,14 @@
         };
         client.form().await.unwrap();
         wait_for_ready(platform, "200").await;
-        let before = connect_as_stranger(callers).await;
+        let before = connect_without_contract(callers).await;
         client.drain().await.unwrap();
         wait_for_ready(platform, "503").await;
-        assert_eq!(connect_as_stranger(callers).await, before);
+        assert_eq!(connect_without_contract(callers).await, before);
         assert!(!before.is_empty());
     };
-    timeout(PATIENCE, case).await.expect("the case never ends");
+    timeout(TEST_TIMEOUT, case)
+        .await
+        .expect("the test timed out");
     node.abort();
 }
--- a/crates/daemon/tests/log_pipe.rs
+++ b/crates/daemon/tests/log_pipe.rs
@@ -1,4 +1,4 @@
-//! Standard output that nobody reads.
+//! The log pipe in front of a standard output that nobody reads.
 
 use ragwortgated::logs::LogPipe;
 use std::io;
@@ -8,10 +8,10 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// How long the test waits for what must come.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// The time limit of the wait for the lines that must arrive.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// An output that blocks until it is opened, and keeps what it was given.
+/// An output whose writes block until the test opens it, and which records them.
 #[derive(Clone, Default)]
 struct GatedOutput(Arc<(Mutex<GateState>, Condvar)>);
 
@@ -38,25 +38,27 @@
     }
 }
 
-/// Whoever reads the daemon's output stops reading, and the daemon goes on under load. It must not
-/// stop with it: callers would see requests hang. When the reader is back it must learn that lines
-/// are missing, and how many.
+/// The reader of the daemon's output stops reading while the daemon goes on logging. Writes must not block,
+/// or callers would see requests hang. When the reader is back, a line reports how many lines were
+/// dropped.
 #[test]
-fn unread_output_stops_nobody() {
+fn unread_output_does_not_block_the_daemon() {
     let output = GatedOutput::default();
     let mut pipe = LogPipe::start(output.clone());
-    // Many times what may wait; a pipe that blocked would never get through this.
+    // Many times the pipe's capacity; a pipe that blocks would hang here.
     for number in 0..200_000 {
         writeln!(pipe, "line={number}").unwrap();
     }
     let (state, changed) = &*output.0;
     state.lock().unwrap().open = true;
     changed.notify_all();
-    let told = |state: &mut GateState| {
+    let not_reported = |state: &mut GateState| {
         !String::from_utf8_lossy(&state.text).contains("event=log_lines_dropped count=")
     };
-    let held = state.lock().unwrap();
-    let (held, waited) = changed.wait_timeout_while(held, PATIENCE, told).unwrap();
+    let guard = state.lock().unwrap();
+    let (guard, waited) = changed
+        .wait_timeout_while(guard, WAIT_TIMEOUT, not_reported)
+        .unwrap();
     assert!(!waited.timed_out());
-    assert!(held.text.starts_with(b"line=0\n"));
+    assert!(guard.text.starts_with(b"line=0\n"));
 }
--- a/crates/daemon/tests/logs.rs
+++ b/crates/daemon/tests/logs.rs
@@ -1,4 +1,4 @@
-//! The log file of a process; alone in its test program, as a process has one log.
+//! The format of the log file. The log is global to a process, so this test is the only one in its binary.
 
 use log::Level;
 use log::LevelFilter;
--- a/crates/daemon/tests/pieces/bench.rs
+++ b/crates/daemon/tests/pieces/bench.rs
@@ -1,4 +1,5 @@
-//! A group's leaseholder with three stand-in endpoints, two standbys and a hand-made catalog.
+//! The test bench of a group: its leaseholder's task, three lab endpoints, two standbys and a control
+//! VM as test doubles, and a catalog that the test publishes itself.
 
 use crate::cases::wait_until;
 use crate::peer::FakePeer;
@@ -68,24 +69,28 @@
 /// A deadline that no healthy statement comes near, in milliseconds.
 pub const LONG_MS: u64 = 50_000;
 
-/// A deadline that is meant to run out, in milliseconds.
+/// A deadline that a test lets expire, in milliseconds.
 pub const SHORT_MS: u64 = 400;
 
-/// The kinds of the bench's contract.
+/// The default kind: a write that must not be repeated.
 pub const GRANT: &str = "grant";
+/// The kind of idempotent writes.
 pub const UPDATE: &str = "update";
+/// The kind of reads that accept answers up to [`LONG_MS`] old, so that replicas may serve them.
 pub const STATUS: &str = "status";
+/// The kind of reads that accept no staleness.
 pub const FRESH: &str = "fresh";
 
-/// An address at which nobody answers.
-pub const NOWHERE: SocketAddr = SocketAddr::V4(std::net::SocketAddrV4::new(
+/// An address at which nothing listens.
+pub const UNREACHABLE_ADDRESS: SocketAddr = SocketAddr::V4(std::net::SocketAddrV4::new(
     std::net::Ipv4Addr::LOCALHOST,
     1,
 ));
 
+/// The term in which the bench's group starts, with `cases-1` as its primary.
 pub const FIRST_TERM: GroupTerm = GroupTerm(1);
 
-/// Creates the contract: writes that are never repeated by default.
+/// Creates the customer's contract with the four kinds; requests without a kind are [`GRANT`]s.
 pub fn create_contract() -> CustomerContract {
     let read = KindTerms {
         access: AccessMode::Read,
@@ -128,7 +133,7 @@
     }
 }
 
-/// Creates the record of the group as it stands in its first term.
+/// Creates the group's catalog record in its first term, with the other two VMs as standbys.
 pub fn create_record(leaseholder: &str, epoch: u64) -> GroupRecord {
     let others = ["vm-1", "vm-2", "vm-3"];
     let standbys = others.into_iter().filter(|vm| *vm != leaseholder);
@@ -149,12 +154,13 @@
     }
 }
 
-/// Creates what a VM knows: the contract, three members at these addresses, the group's record.
+/// Creates a VM's view of the catalog: the contract, three members with these peer addresses and the
+/// group's record. The VM holds a lease of an hour if `lease` is set.
 pub fn create_view(addresses: [SocketAddr; 3], record: &GroupRecord, lease: bool) -> MemberView {
     create_view_with(addresses, [None; 3], record, lease)
 }
 
-/// The same, and the addresses at which the members take statements.
+/// Like [`create_view`], and sets the members' addresses for statement links.
 pub fn create_view_with(
     addresses: [SocketAddr; 3],
     statements: [Option<SocketAddr>; 3],
@@ -210,10 +216,10 @@
     view
 }
 
-/// Creates the settings of `vm-1` with a control VM that commits confirmations of journals only.
+/// Creates the settings of `vm-1`, whose one control VM is at `control`.
 ///
-/// Endpoints announce themselves only when a test says so; in most they may be silent for the whole
-/// case.
+/// Endpoints announce themselves only when a test calls for it. `timing` therefore usually sets an
+/// announcement timeout that is longer than the whole case.
 fn create_settings(timing: &str, control: SocketAddr) -> DaemonSettings {
     let text = "
 vm: vm-1
@@ -228,16 +234,17 @@
     DaemonSettings::from_yaml(&text.replace("CONTROL", &control.to_string())).unwrap()
 }
 
-/// What is asked of the leaseholder.
+/// Builds a [`StatementRequest`] of the bench's customer to its group.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct RequestBuilder {
     pub text: String,
     pub session: SessionName,
     pub marks: RequestMarks,
     pub step: TransactionStep,
 }
 
-impl Ask {
+impl RequestBuilder {
+    /// Starts with a single statement of session `clerk`, outside any transaction.
     pub fn new(kind: &str, text: &str) -> Self {
         Self {
             text: text.to_owned(),
@@ -294,9 +301,10 @@
     }
 }
 
-/// The running leaseholder `vm-1` and all around it.
+/// A running leaseholder on `vm-1`, and the endpoints, standbys and control VM that it works with.
 pub struct GroupBench {
     pub endpoints: Vec<LabEndpoint>,
+    /// Relays the leaseholder's connections to the primary, so that a test can break them.
     pub data_relay: Option<CutRelay>,
     pub standbys: Vec<FakePeer>,
     control: FakePeer,
@@ -311,11 +319,12 @@
 }
 
 impl GroupBench {
+    /// Starts the bench with an announcement timeout of 60 s and waits until the leaseholder serves.
     pub async fn start() -> Self {
         Self::start_with("announce_lost_ms: 60000").await
     }
 
-    /// Starts with these settings of the times.
+    /// Starts the bench with these entries of the `timing` section.
     pub async fn start_with(timing: &str) -> Self {
         let mut endpoints = Vec::new();
         for index in 1..=3 {
@@ -327,9 +336,9 @@
         let relay = relay.await.unwrap();
 
         let record = create_record("vm-1", 1);
-        let nobody = create_view([NOWHERE; 3], &record, true);
-        let (view, _) = watch::channel(nobody);
-        let (own, own_task) = spawn_standby("vm-1".into(), view.subscribe());
+        let initial_view = create_view([UNREACHABLE_ADDRESS; 3], &record, true);
+        let (view, _) = watch::channel(initial_view);
+        let (own_standby, own_task) = spawn_standby("vm-1".into(), view.subscribe());
         let mut standbys = Vec::new();
         let mut standby_tasks = vec![own_task];
         for vm in ["vm-2", "vm-3"] {
@@ -337,7 +346,11 @@
             standbys.push(FakePeer::start_standby(sender).await);
             standby_tasks.push(task);
         }
-        let addresses = [NOWHERE, standbys[0].address, standbys[1].address];
+        let addresses = [
+            UNREACHABLE_ADDRESS,
+            standbys[0].address,
+            standbys[1].address,
+        ];
         view.send_replace(create_view(addresses, &record, true));
 
         let clock = NodeClock::start();
@@ -351,7 +364,7 @@
             directory,
             clock,
             links: links.clone(),
-            standby: own,
+            standby: own_standby,
             handovers: HandoverPlanner::default(),
             descriptors: DescriptorBudget::new(u32::MAX, &DaemonMetrics::new()),
             metrics: DaemonMetrics::new(),
@@ -378,15 +391,20 @@
         bench
     }
 
-    /// Ends the leaseholder without a word, as when its process is killed, and starts its
-    /// successor under the next epoch.
+    /// Aborts the leaseholder's task, as when its process is killed, and starts its successor under
+    /// the next epoch.
     pub async fn replace_leaseholder(&mut self) {
         self.task.abort();
-        // Until it has ended it could still see that its inbox closes, and answer what it has.
+        // An aborted task runs on to its next await point. It must be gone before its inbox closes, or
+        // it could still answer its pending statements.
         let _ = (&mut self.task).await;
         let previous = self.record.placement.clone();
         self.record = create_record("vm-1", previous.epoch.0 + 1);
-        let addresses = [NOWHERE, self.standbys[0].address, self.standbys[1].address];
+        let addresses = [
+            UNREACHABLE_ADDRESS,
+            self.standbys[0].address,
+            self.standbys[1].address,
+        ];
         let view = create_view(addresses, &self.record, true);
         self.view.send_replace(view);
         let (inbox, events) = mpsc::channel(64);
@@ -397,14 +415,14 @@
         self.wait_serving().await;
     }
 
-    /// Lets all endpoints announce themselves once.
+    /// Sends one announcement of each endpoint to the leaseholder.
     pub async fn announce_all(&self) {
         for (index, endpoint) in self.endpoints.iter().enumerate() {
             self.announce_at(index, endpoint.agent_address()).await;
         }
     }
 
-    /// Lets an endpoint announce itself with this address of its agent.
+    /// Sends an announcement of an endpoint with this agent address to the leaseholder.
     pub async fn announce_at(&self, index: usize, agent_address: SocketAddr) {
         let endpoint = &self.endpoints[index];
         let data_address = match (index, &self.data_relay) {
@@ -427,7 +445,7 @@
         self.inbox.send(event).await.unwrap();
     }
 
-    /// Waits until the journal is recovered and the primary serves.
+    /// Waits until the journal is recovered, the leaseholder serves and a connection to the primary is open.
     pub async fn wait_serving(&self) {
         loop {
             self.announce_all().await;
@@ -439,17 +457,19 @@
         }
     }
 
+    /// Returns the leaseholder's state dump.
     pub async fn dump(&self) -> serde_json::Value {
         let (reply, answer) = oneshot::channel();
         self.inbox.send(GroupEvent::Dump(reply)).await.unwrap();
         answer.await.unwrap()
     }
 
-    /// Hands a statement to the leaseholder; the reply comes by itself.
-    pub async fn send(&self, ask: Ask) -> oneshot::Receiver<StatementReply> {
-        self.send_request(ask.into_request()).await
+    /// Sends a statement to the leaseholder; the receiver yields its reply.
+    pub async fn send(&self, builder: RequestBuilder) -> oneshot::Receiver<StatementReply> {
+        self.send_request(builder.into_request()).await
     }
 
+    /// Like [`Self::send`], for a request whose id the test needs.
     pub async fn send_request(
         &self,
         request: StatementRequest,
@@ -460,21 +480,26 @@
         answer
     }
 
-    /// Hands a statement to the leaseholder as the manager of its VM does; `None` if it takes no more.
+    /// Sends a statement without waiting, as the VM's leaseholder manager does; `None` if the
+    /// leaseholder's inbox is full or closed.
     pub fn try_send(&self, request: StatementRequest) -> Option<oneshot::Receiver<StatementReply>> {
         let (reply, answer) = oneshot::channel();
         let event = GroupEvent::Statement(Box::new(request), reply);
         self.inbox.try_send(event).ok().map(|()| answer)
     }
 
-    /// Returns what leaseholders of the VM work with.
+    /// Returns the resources that the VM's leaseholders share.
     pub fn context(&self) -> Arc<GroupContext> {
         Arc::clone(&self.context)
     }
 
-    /// Shows the leaseholder that another VM leads the group.
+    /// Publishes a catalog in which `vm-2` leads the group, under the next epoch.
     pub fn place_elsewhere(&self) {
-        let addresses = [NOWHERE, self.standbys[0].address, self.standbys[1].address];
+        let addresses = [
+            UNREACHABLE_ADDRESS,
+            self.standbys[0].address,
+            self.standbys[1].address,
+        ];
         let record = create_record("vm-2", self.record.placement.epoch.0 + 1);
         self.view
             .send_replace(create_view(addresses, &record, true));
@@ -485,15 +510,17 @@
         self.inbox.send(GroupEvent::Cancel(id)).await.unwrap();
     }
 
-    pub async fn ask(&self, ask: Ask) -> StatementReply {
-        self.send(ask).await.await.unwrap()
+    /// Sends a statement and waits for its reply.
+    pub async fn execute(&self, builder: RequestBuilder) -> StatementReply {
+        self.send(builder).await.await.unwrap()
     }
 
+    /// Sets a fault of one endpoint.
     pub async fn set_fault(&self, index: usize, fault: FaultRequest) {
         self.endpoints[index].shared().set_fault(fault).await;
     }
 
-    /// Ends replication: nothing that the primary writes from now on reaches a replica.
+    /// Cuts or restores replication to both replicas.
     pub async fn cut_replication(&self, cut: bool) {
         for replica in [1, 2] {
             let fault = FaultRequest::CutReplication(cut);
@@ -501,39 +528,43 @@
         }
     }
 
-    /// Waits until so many statements run at the primary.
+    /// Waits until exactly `count` statements run at the primary.
     pub async fn wait_running(&self, count: usize) {
         let slots = &self.endpoints[0].shared().slots;
         wait_until(|| slots.available_permits() == 2 - count).await;
     }
 
-    /// Returns how often the primary has committed writes.
+    /// Returns the number of commits with writes in the primary's log.
     pub async fn count_commits(&self) -> usize {
         let log = self.endpoints[0].shared().instance.read_log().await;
         let commits = log.iter().filter(|entry| !entry.writes.is_empty());
         commits.count()
     }
 
-    /// Breaks the connections to the primary for good.
-    pub async fn lose_connections(&mut self) {
+    /// Breaks the connections to the primary and refuses new ones.
+    pub async fn break_connections(&mut self) {
         self.data_relay.take().unwrap().stop().await;
     }
 
-    /// Lets each standby be expected where the other one answers.
-    pub fn exchange_standbys(&self) {
-        let addresses = [NOWHERE, self.standbys[1].address, self.standbys[0].address];
+    /// Publishes a catalog in which the addresses of the two standbys are swapped.
+    pub fn swap_standby_addresses(&self) {
+        let addresses = [
+            UNREACHABLE_ADDRESS,
+            self.standbys[1].address,
+            self.standbys[0].address,
+        ];
         let mut record = self.record.clone();
         record.placement.epoch = PlacementEpoch(self.record.placement.epoch.0 + 1);
         self.view
             .send_replace(create_view(addresses, &record, true));
     }
 
-    /// Ends this VM's lease.
+    /// Ends this VM's lease by superseding it.
     pub fn end_lease(&self) {
         self.view.send_modify(|view| view.lease.supersede());
     }
 
-    /// Stops everything and joins it.
+    /// Stops the leaseholder, the test doubles and the endpoints, and joins their tasks.
     pub async fn stop(self) {
         drop(self.inbox);
         self.task.await.unwrap();
@@ -554,7 +585,8 @@
     }
 }
 
-/// Brings the endpoints to where the record says that they are.
+/// Makes the first endpoint the primary of the first term, and the others its replicas, as the record
+/// says.
 async fn form_first_term(endpoints: &[LabEndpoint]) {
     for endpoint in endpoints {
         endpoint.shared().instance.fence(FIRST_TERM).await;
@@ -570,7 +602,7 @@
     }
 }
 
-/// Returns the answer of one row and one column.
+/// Returns an answer of one row with one column.
 pub fn one_value(column: &str, value: &str) -> StatementAnswer {
     StatementAnswer::Rows(RowSet {
         columns: vec![column.to_owned()],
@@ -578,7 +610,7 @@
     })
 }
 
-/// Returns a gateway's links over which all statements go as remote calls.
+/// Returns a gateway's links. Statements to members without a statement address go as peer calls.
 pub fn plain_links(peers: PeerLinks) -> GatewayLinks {
     GatewayLinks {
         peers,
--- a/crates/daemon/tests/pieces/cases.rs
+++ b/crates/daemon/tests/pieces/cases.rs
@@ -1,12 +1,13 @@
-//! The macro that names the cases, and the bound on their time.
+//! The macro that declares failure cases, and the time limit that applies to each.
 
 use std::future::Future;
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// How long a case may take. It is no threshold: a case that gets there never ends.
-const CASE_PATIENCE: Duration = Duration::from_secs(60);
+/// The time limit of a case. It only ends cases that hang; no case measures performance by it.
+const CASE_TIMEOUT: Duration = Duration::from_secs(60);
 
+/// Declares a test on a multi-threaded runtime for each `name => future`.
 macro_rules! failure_cases {
     ($($(#[$doc:meta])* $name:ident => $case:expr;)*) => {$(
         $(#[$doc])*
@@ -17,15 +18,20 @@
     )*};
 }
 
+/// Runs a case to its end.
+///
+/// # Panics
+///
+/// Panics if the case takes longer than [`CASE_TIMEOUT`].
 pub async fn run_case(case: impl Future<Output = ()>) {
-    timeout(CASE_PATIENCE, case)
+    timeout(CASE_TIMEOUT, case)
         .await
-        .expect("the case never ends");
+        .expect("the case timed out");
 }
 
-/// Waits until something holds; the case's patience bounds it.
-pub async fn wait_until(mut holds: impl FnMut() -> bool) {
-    while !holds() {
+/// Polls a condition every 2 ms until it holds. It has no time limit but that of the case.
+pub async fn wait_until(mut condition: impl FnMut() -> bool) {
+    while !condition() {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
--- a/crates/daemon/tests/pieces/connection.rs
+++ b/crates/daemon/tests/pieces/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an endpoint: what it says of a statement whose answer is late, lost or wrong.
+//! A connection to an endpoint: the outcome of statements whose answers are late, lost or wrong.
 
 use crate::scripted::start_scripted;
 use ragwort_lab::endpoint::EndpointSettings;
@@ -30,53 +30,53 @@
 /// A limit that no healthy statement comes near.
 const LONG: Duration = Duration::from_secs(50);
 
-/// A limit that is meant to run out.
+/// A limit that a test lets expire.
 const SHORT: Duration = Duration::from_millis(100);
 
 failure_cases! {
-    /// An endpoint has died, and another instance of its group listens where it did. A read that is sent
-    /// there for what the dead one held would miss its session's write. The connection must not open.
+    /// An endpoint has died, and another instance of its group listens at its address. A read that was
+    /// routed by the dead instance's position would miss its session's write there. The connection must
+    /// not open.
     connection_to_another_instance_does_not_open => other_instance_case("cases", "cases-2");
-    /// The same, and the instance belongs to another group: a statement would run in a database that its
-    /// customer has no part in.
+    /// An instance of another group listens at the endpoint's address. A statement would run in a
+    /// database to which its customer has no access.
     connection_to_another_group_does_not_open => other_instance_case("files", "cases-1");
-    /// A late answer of an earlier statement stands in front of this statement's own. A caller
-    /// would be shown a stranger's case; it must get no rows, and the connection ends.
+    /// The late answer to an earlier statement arrives in place of this statement's own. The caller must
+    /// not get another caller's rows, and the connection is closed.
     answer_of_another_statement_is_not_handed_on => mismatch_case();
-    /// The path to the endpoint has forgotten the connection: the statement is sent and nothing
-    /// comes back. The caller is in doubt at its deadline, and nobody else gets the connection, on
-    /// which the late answer could still arrive.
+    /// The path to the endpoint has dropped the connection's state: the statement is sent, and nothing
+    /// comes back. The outcome is in doubt at the deadline, and the connection is not reused, because
+    /// the late answer could still arrive on it.
     silent_connection_is_never_used_again => silent_case();
-    /// The connection breaks while the statement runs. The caller must not be told that it did not
-    /// run.
+    /// The connection breaks while the statement runs. The caller must not be told that it was not run.
     connection_lost_after_the_send_leaves_doubt => lost_case();
-    /// The instance was fenced because another one is to be the primary. It says that it ran
-    /// nothing, so the caller's write may go to the successor.
+    /// The instance was fenced in favour of a new primary. It refuses without running the statement, so
+    /// the statement may go to the successor.
     fenced_endpoint_refuses_without_running => fenced_case();
-    /// A cancel overtakes nothing: it can reach the endpoint after the statement has ended, and
-    /// would then hit the next one. So nothing follows a cancelled statement on its connection.
+    /// A cancel request may reach the endpoint after its statement has ended, and would then cancel the
+    /// next one. So no statement follows a cancelled one on its connection.
     cancelled_connection_is_not_used_again => cancel_case();
-    /// An idle connection was forgotten by something on its path. A caller's statement would find
-    /// that out by losing its deadline; the ping finds it first.
+    /// The path to the endpoint has dropped an idle connection. The ping detects it, so that no statement
+    /// spends its deadline on it.
     idle_ping_finds_a_dead_connection => ping_case();
-    /// A statement is ordered on a connection whose ping is about to fail. No byte of it is sent,
-    /// so it may run elsewhere, and its caller isn't left in doubt.
+    /// A statement is queued on a connection whose ping is about to fail. None of it is sent, so it may
+    /// run elsewhere, and its caller isn't left in doubt.
     statement_behind_a_lost_ping_was_not_sent => behind_ping_case();
-    /// A driver prepares a statement that the database doesn't understand. The caller reads the
-    /// database's own error, nothing runs, and the connection stays good.
+    /// A driver prepares a statement that the database rejects. The caller gets the database's own error,
+    /// nothing runs, and the connection stays usable.
     failed_description_runs_nothing => describe_case();
-    /// A description gets no answer. It holds its connection only as long as it was told, and the
+    /// A description gets no answer. It occupies its connection no longer than its limit, and the
     /// connection isn't used again.
     silent_description_ends_the_connection => silent_describe_case();
-    /// A read by the extended protocol finds nothing. Its caller must be shown an empty table with
-    /// its columns, and not an answer without a table; a write's count of rows must not be lost.
+    /// A read by the extended protocol finds no row. Its answer must be an empty row set with its columns,
+    /// and a write's row count must not be lost.
     empty_answer_keeps_its_columns => empty_answer_case();
-    /// The database answers a prepared read with numbers and truth values, in its binary form. The
-    /// caller must read the same words as by the simple protocol, and not be left in doubt.
+    /// The database answers a prepared read with numbers and booleans in binary format. The caller must
+    /// get the same texts as by the simple protocol, and not be left in doubt.
     typed_answer_is_read_as_text => typed_answer_case();
 }
 
-/// A connection under test, with what it reports.
+/// A connection under test, its orders and the events that it reports.
 struct TestConnection {
     orders: mpsc::Sender<ConnectionOrder>,
     events: mpsc::Receiver<ConnectionEvent>,
@@ -84,8 +84,9 @@
 }
 
 impl TestConnection {
+    /// Opens a connection and waits until it is usable.
     async fn open(address: SocketAddr, idle_ping: Duration) -> Self {
-        let target = describe_target(address, idle_ping);
+        let target = create_target(address, idle_ping);
         let (sender, events) = mpsc::channel(16);
         let (orders, task) = spawn_connection(target, sender);
         let mut connection = Self {
@@ -98,6 +99,7 @@
         connection
     }
 
+    /// Waits for the connection's next event.
     async fn next(&mut self) -> ConnectionChange {
         self.events.recv().await.unwrap().change
     }
@@ -106,6 +108,7 @@
         self.orders.send(order).await.unwrap();
     }
 
+    /// Orders a statement by the simple protocol.
     async fn start(&self, text: &str, limit: Duration) {
         let run = RunOrder {
             id: StatementId::fresh(),
@@ -116,6 +119,7 @@
         self.order(ConnectionOrder::Run(run)).await;
     }
 
+    /// Waits for the outcome of the running statement.
     async fn finish(&mut self) -> RunOutcome {
         match self.next().await {
             ConnectionChange::Finished(_, outcome) => outcome,
@@ -128,6 +132,7 @@
         self.finish().await
     }
 
+    /// Runs a statement by the extended protocol and returns its answer.
     async fn run_extended(&mut self, text: &str, parameters: &[&str]) -> StatementAnswer {
         let values = parameters.iter().map(|value| Some((*value).to_owned()));
         let run = RunOrder {
@@ -143,6 +148,7 @@
         }
     }
 
+    /// Describes a statement with one parameter.
     async fn describe(&mut self, text: &str, limit: Duration) -> DescribeOutcome {
         let order = DescribeOrder {
             id: StatementId::fresh(),
@@ -157,7 +163,7 @@
         }
     }
 
-    /// Expects that the connection takes nothing any more and its task ends.
+    /// Asserts that the connection closes, accepts no orders and its task ends.
     async fn expect_closed(mut self) {
         let closed = self.next().await;
         assert!(matches!(closed, ConnectionChange::Closed), "{closed:?}");
@@ -165,7 +171,7 @@
         assert!(self.orders.is_closed());
     }
 
-    /// Expects that the connection still answers, and ends it.
+    /// Asserts that the connection still answers, and closes it.
     async fn expect_usable(mut self) {
         let outcome = self.run("select 1", LONG).await;
         assert!(matches!(outcome, RunOutcome::Answered(..)), "{outcome:?}");
@@ -174,7 +180,8 @@
     }
 }
 
-fn describe_target(address: SocketAddr, idle_ping: Duration) -> ConnectionTarget {
+/// Creates a target that expects instance `cases-1` of group `cases`.
+fn create_target(address: SocketAddr, idle_ping: Duration) -> ConnectionTarget {
     ConnectionTarget {
         id: ConnectionId(1),
         address,
@@ -192,7 +199,7 @@
         ..EndpointSettings::quick(instance, true)
     };
     let endpoint = LabEndpoint::start(&settings).await.unwrap();
-    let target = describe_target(endpoint.data_address(), LONG);
+    let target = create_target(endpoint.data_address(), LONG);
     let (sender, mut events) = mpsc::channel(16);
     let (orders, task) = spawn_connection(target, sender);
     let event = events.recv().await.unwrap();
@@ -211,7 +218,7 @@
         .unwrap()
 }
 
-/// Waits until a statement runs at the endpoint.
+/// Waits until a statement occupies a slot of the endpoint.
 async fn wait_running(endpoint: &LabEndpoint) {
     let slots = &endpoint.shared().slots;
     crate::cases::wait_until(|| slots.available_permits() < 2).await;
--- a/crates/daemon/tests/pieces/control.rs
+++ b/crates/daemon/tests/pieces/control.rs
@@ -1,4 +1,4 @@
-//! The control role as members meet it.
+//! The control role's answers to members.
 
 use ragwort_types::CatalogRevision;
 use ragwort_types::HeartbeatReply;
@@ -18,16 +18,18 @@
 use tokio::sync::oneshot;
 use tokio::sync::watch;
 
-/// A heartbeat's time that leaves a starved machine room to elect a leader, in milliseconds.
+/// The heartbeat interval, in milliseconds. A heartbeat is held for up to half of it, which leaves a slow
+/// machine enough time to elect a leader.
 const LONG_HEARTBEAT_MS: u64 = 15_000;
 
 failure_cases! {
-    /// All VMs return from a loss of power, and a member's heartbeat arrives before anybody leads. It
-    /// is answered once there is a leader and the new process is a member. Told to come back, the
-    /// member would lose a pause for each of the two, and refuse its callers meanwhile.
+    /// All VMs restart after a power failure, and a member's heartbeat arrives before a leader is elected.
+    /// It is held until there is a leader and the new process is admitted. If it were rejected instead,
+    /// the member would lose a retry interval for each of the two steps and refuse its callers meanwhile.
     heartbeat_waits_for_a_leader_and_its_admission => waiting_heartbeat_case();
 }
 
+/// Creates the settings of `vm-1`, which is the only control VM.
 fn create_settings(folder: &std::path::Path) -> DaemonSettings {
     let text = format!(
         "
@@ -45,7 +47,8 @@
     DaemonSettings::from_yaml(&text).unwrap()
 }
 
-fn describe_newcomer() -> HeartbeatRequest {
+/// Creates the first heartbeat of `vm-2`, which the catalog doesn't hold yet.
+fn create_heartbeat() -> HeartbeatRequest {
     HeartbeatRequest {
         member: MemberRecord {
             id: MemberId {
@@ -68,7 +71,8 @@
     }
 }
 
-async fn ask<Reply>(
+/// Sends an event to the control task and waits for its reply.
+async fn call_control<Reply>(
     control: &mpsc::Sender<ControlEvent>,
     event: impl FnOnce(oneshot::Sender<Reply>) -> ControlEvent,
 ) -> Reply {
@@ -83,19 +87,19 @@
     std::fs::create_dir_all(&folder).unwrap();
     let settings = Arc::new(create_settings(&folder));
     let links = PeerLinks::new(Duration::from_secs(5));
-    let own = VmIncarnation(1);
-    let opened = ControlTask::open(settings, NodeClock::start(), links, &folder, own);
+    let incarnation = VmIncarnation(1);
+    let opened = ControlTask::open(settings, NodeClock::start(), links, &folder, incarnation);
     let (task, control) = opened.unwrap();
     let (stop, stopped) = watch::channel(false);
     let task = tokio::spawn(task.run(stopped));
     let voter = MemberId {
         vm: "vm-1".into(),
-        incarnation: own,
+        incarnation,
     };
-    let heartbeat = ask(&control, |reply| {
-        ControlEvent::Heartbeat(describe_newcomer(), reply)
+    let heartbeat = call_control(&control, |reply| {
+        ControlEvent::Heartbeat(create_heartbeat(), reply)
     });
-    let forming = ask(&control, |reply| ControlEvent::Form(vec![voter], reply));
+    let forming = call_control(&control, |reply| ControlEvent::Form(vec![voter], reply));
     let (reply, formed) = tokio::join!(heartbeat, forming);
     assert!(formed);
     assert!(matches!(reply, HeartbeatReply::Granted(_)), "{reply:?}");
--- a/crates/daemon/tests/pieces/disk.rs
+++ b/crates/daemon/tests/pieces/disk.rs
@@ -1,10 +1,11 @@
-//! The control VM's log file: what a crash leaves behind.
+//! Recovery of the control VM's log file after a crash.
 
 use ragwortgated::disk::LogFile;
 use std::fs;
 use std::path::Path;
 use std::path::PathBuf;
 
+/// Declares a test for each `name => function`; the function gets a folder of its own.
 macro_rules! disk_cases {
     ($($(#[$doc:meta])* $name:ident => $case:ident;)*) => {$(
         $(#[$doc])*
@@ -18,16 +19,16 @@
 }
 
 disk_cases! {
-    /// The VM loses power in the middle of a record. The whole records before it are still there,
-    /// and what is appended after the cut follows them without a gap.
+    /// The VM loses power in the middle of a record. The complete records before it are kept, and
+    /// records that are appended after the truncation follow them without a gap.
     torn_tail_is_cut_and_appended_after => torn_tail_case;
-    /// The VM loses power while the log is rewritten: a part of the new file lies beside the old
-    /// one. The old log counts, and a later rewrite isn't disturbed by the leftover.
+    /// The VM loses power during a rewrite of the log, which leaves a partial new file beside the old
+    /// one. The old log stays valid, and the partial file doesn't disturb a later rewrite.
     interrupted_rewrite_leaves_the_old_log => leftover_case;
-    /// After a rewrite the process goes on with the new file. Appends to the old one would be lost
-    /// at the next start, with all votes and entries in them.
+    /// After a rewrite the process appends to the new file. Votes and entries that were appended to the
+    /// old one would be lost at the next start.
     appends_after_a_rewrite_are_kept => rewrite_case;
-    /// A disk was replaced by an empty one, whose folder doesn't exist yet.
+    /// A disk was replaced by an empty one, on which the data folder doesn't exist yet.
     missing_folder_is_an_empty_log => missing_case;
 }
 
--- a/crates/daemon/tests/pieces/gateway.rs
+++ b/crates/daemon/tests/pieces/gateway.rs
@@ -1,10 +1,10 @@
-//! The gateway: what it claims of statements whose leaseholder is out of reach or lost.
+//! The gateway's verdicts on statements whose leaseholder is unreachable or lost.
 
-use crate::bench::Ask;
 use crate::bench::FRESH;
 use crate::bench::GRANT;
-use crate::bench::NOWHERE;
+use crate::bench::RequestBuilder;
 use crate::bench::STATUS;
+use crate::bench::UNREACHABLE_ADDRESS;
 use crate::bench::UPDATE;
 use crate::bench::create_record;
 use crate::bench::create_view;
@@ -33,72 +33,73 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// A lease so long that no takeover ends before a statement's deadline.
+/// A lease so long that no takeover or handover ends before a statement's deadline of 50 s.
 const ENDLESS_LEASE: Duration = Duration::from_secs(3_600);
 
-/// A lease whose takeover ends well before a statement's deadline.
+/// A lease so short that a takeover ends well before a statement's deadline of 50 s.
 const USUAL_LEASE: Duration = Duration::from_secs(20);
 
-/// A lease whose takeover ends after a statement's deadline of 50 s, and whose handover before it.
+/// A lease with which a takeover ends after a statement's deadline of 50 s, but a handover before it.
 const LONG_LEASE: Duration = Duration::from_secs(40);
 
 /// The verdict of a statement that ran.
 const DONE: RequestVerdict = RequestVerdict::Ran(StatementAnswer::Done(1));
 
-/// The verdict of a statement whose leaseholder was lost with it.
+/// The verdict of a statement whose leaseholder was lost while it ran.
 const DOUBT: RequestVerdict = RequestVerdict::MayHaveRun(DoubtCause::LeaseholderLost);
 
 failure_cases! {
-    /// The leaseholder's VM is down and its successor can't be there before the deadline. A duty
-    /// officer is told so at once, and when to come back, instead of shortly before her deadline.
+    /// The leaseholder's VM is down, and no successor can take over before the statement's deadline. The
+    /// caller is refused at once and told when to retry, instead of waiting until the deadline.
     refusal_comes_at_once_when_the_deadline_is_too_near => refuse_case();
-    /// The leaseholder's VM is down and its successor takes over in time. The statement was not
-    /// handed over, so it goes to the successor, and its caller notices a short wait.
+    /// The leaseholder's VM is down, and its successor takes over before the deadline. The statement was
+    /// not handed over, so it goes to the successor after a short wait.
     statement_goes_to_the_successor_within_its_deadline => successor_case();
-    /// The group was handed over, and its next leaseholder hasn't learned of it yet. That takes a
-    /// heartbeat, which the statement has time for; refusing it would make a planned change of
-    /// leaseholder a public incident.
+    /// The group was handed over, and its next leaseholder learns of it with its next heartbeat. The
+    /// statement has time to wait for that; a refusal would make every planned handover visible to
+    /// callers.
     handover_is_waited_for => handover_case();
-    /// The leaseholder is lost while it has a grant without a key. It may have run, and nobody
-    /// could know it again, so it isn't sent twice.
+    /// The leaseholder is lost while it runs a write without a key. The write may have run, and no
+    /// successor could recognise a resend, so it isn't sent twice.
     lost_reply_of_an_unkeyed_write_leaves_doubt => unkeyed_case();
-    /// The same for a read, which changes nothing: it is answered by the successor.
-    lost_reply_of_a_read_is_asked_again => resend_case(Ask::new(FRESH, "get case-7"));
-    /// The same for a write that has the same effect twice.
+    /// The reply to a read is lost. Reads change nothing, so the successor is asked.
+    lost_reply_of_a_read_is_asked_again => resend_case(RequestBuilder::new(FRESH, "get case-7"));
+    /// The reply to an idempotent write is lost. The successor may run it again.
     lost_reply_of_an_idempotent_write_is_sent_again =>
-        resend_case(Ask::new(UPDATE, "put case-7 open"));
-    /// The same for a grant with a key, by which the successor knows it again.
+        resend_case(RequestBuilder::new(UPDATE, "put case-7 open"));
+    /// The reply to a keyed write is lost. The successor recognises the resend by its key.
     lost_reply_of_a_keyed_write_is_sent_again =>
-        resend_case(Ask::new(GRANT, "append case-7 grant").key(RequestKey::fresh()));
-    /// The successor refuses the resend of a grant. That says nothing of the first attempt, which
-    /// may have run: a caller who was told otherwise would grant a second time.
+        resend_case(RequestBuilder::new(GRANT, "append case-7 grant").key(RequestKey::fresh()));
+    /// The successor refuses the resend of a write. The first attempt may have run all the same: a caller
+    /// that is told otherwise would send a new write, which would then run twice.
     refused_resend_of_a_write_leaves_doubt => refused_resend_case(GRANT, true);
-    /// A read that the successor refuses has left nothing behind: its caller may be told so.
+    /// The successor refuses the resend of a read. Reads have no effect, so the refusal may be passed on.
     refused_resend_of_a_read_was_not_run => refused_resend_case(STATUS, false);
-    /// The leaseholder that held the transaction is gone before its next statement. Nothing of the
-    /// transaction lasts, and the caller learns that at once.
+    /// The leaseholder of an open transaction is gone before the next statement. The transaction is
+    /// rolled back, and the caller is told at once.
     transaction_of_an_unreachable_leaseholder_is_lost => lost_transaction_case();
-    /// The leaseholder is lost while it commits.
+    /// The leaseholder is lost during a commit.
     lost_reply_of_a_commit_leaves_doubt => lost_commit_case();
-    /// The path between this VM and the leaseholder is cut, while a standby still reaches it.
+    /// The path between this VM and the leaseholder is cut, but a standby still reaches the leaseholder.
     unreachable_leaseholder_is_reached_through_a_standby => relay_case();
-    /// The standby that passes a grant on is lost with it: it may have passed it on.
+    /// The standby that relays a write is lost; it may have passed the write on.
     statement_lost_with_its_relay_leaves_doubt => lost_relay_case();
-    /// This VM's lease has ended: its catalog may be replaced. It takes nothing.
+    /// This VM's lease has ended, so its catalog may be outdated. It accepts no statements.
     gateway_without_a_lease_refuses => no_lease_case();
     /// A driver prepares a statement while the leaseholder is being replaced. The description is
-    /// asked for again; the caller notices a short wait.
+    /// requested again from the successor after a short wait.
     description_is_asked_of_the_successor => describe_successor_case();
 }
 
-/// A gateway with what it knows.
+/// A gateway and the catalog view that the test publishes to it.
 struct GatewayBench {
     gateway: Arc<Gateway>,
     view: watch::Sender<MemberView>,
 }
 
 impl GatewayBench {
-    /// Creates a gateway that finds `vm-1`, `vm-2` and `vm-3` at these addresses; the first leads.
+    /// Creates a gateway whose catalog has `vm-1`, `vm-2` and `vm-3` at these peer addresses and `vm-1` as
+    /// leaseholder.
     fn new(addresses: [SocketAddr; 3], lease: Duration) -> Self {
         let view = create_view(addresses, &create_record("vm-1", 1), true);
         let (view, receiver) = watch::channel(view);
@@ -111,103 +112,122 @@
         }
     }
 
-    /// Lets `vm-2` lead from now on, at this address.
+    /// Publishes a catalog in which `vm-2`, at this peer address, leads the group.
     fn take_over(&self, address: SocketAddr) {
         let record = create_record("vm-2", 2);
-        let view = create_view([NOWHERE, address, NOWHERE], &record, true);
+        let view = create_view(
+            [UNREACHABLE_ADDRESS, address, UNREACHABLE_ADDRESS],
+            &record,
+            true,
+        );
         self.view.send_replace(view);
     }
 
-    fn start(&self, ask: Ask) -> JoinHandle<StatementReply> {
+    /// Starts a statement in a task of its own.
+    fn start(&self, builder: RequestBuilder) -> JoinHandle<StatementReply> {
         let gateway = Arc::clone(&self.gateway);
-        let request = ask.into_request();
+        let request = builder.into_request();
         tokio::spawn(async move { gateway.execute(request).await })
     }
 
-    async fn execute(&self, ask: Ask) -> RequestVerdict {
-        self.gateway.execute(ask.into_request()).await.verdict
+    /// Executes a statement and returns its verdict.
+    async fn execute(&self, builder: RequestBuilder) -> RequestVerdict {
+        self.gateway.execute(builder.into_request()).await.verdict
     }
 }
 
-fn grant() -> Ask {
-    Ask::new(GRANT, "append case-7 grant")
+fn grant() -> RequestBuilder {
+    RequestBuilder::new(GRANT, "append case-7 grant")
 }
 
 async fn refuse_case() {
-    let bench = GatewayBench::new([NOWHERE; 3], ENDLESS_LEASE);
+    let bench = GatewayBench::new([UNREACHABLE_ADDRESS; 3], ENDLESS_LEASE);
     let verdict = bench.execute(grant()).await;
     let RequestVerdict::NotRun(refusal) = verdict else {
         panic!("{verdict:?}");
     };
     assert_eq!(refusal.cause, RefusalCause::NoLeaseholder);
-    // A takeover takes longer than the statement's 50 s, and the caller needn't come before.
+    // A takeover takes longer than the statement's 50 s, so an earlier retry is pointless.
     assert!(refusal.come_back_after_ms > 50_000, "{refusal:?}");
 }
 
 async fn successor_case() {
     let peer = FakePeer::start(PeerScript::Reply(DONE)).await;
-    let bench = GatewayBench::new([NOWHERE; 3], USUAL_LEASE);
+    let bench = GatewayBench::new([UNREACHABLE_ADDRESS; 3], USUAL_LEASE);
     let running = bench.start(grant());
     bench.take_over(peer.address);
     assert_eq!(running.await.unwrap().verdict, DONE);
-    assert_eq!(peer.taken().len(), 1);
+    assert_eq!(peer.received().len(), 1);
     peer.stop().await;
 }
 
 async fn handover_case() {
     let refused = RequestVerdict::refused(RefusalCause::NoLeaseholder, 0);
     let peer = FakePeer::start(PeerScript::Reply(refused)).await;
-    let bench = GatewayBench::new([peer.address, NOWHERE, NOWHERE], LONG_LEASE);
+    let bench = GatewayBench::new(
+        [peer.address, UNREACHABLE_ADDRESS, UNREACHABLE_ADDRESS],
+        LONG_LEASE,
+    );
     let running = bench.start(grant());
-    peer.wait_taken(2).await;
+    peer.wait_received(2).await;
     peer.set_script(PeerScript::Reply(DONE));
     assert_eq!(running.await.unwrap().verdict, DONE);
     peer.stop().await;
 }
 
-/// A leaseholder that takes statements, never replies, and is lost when the test says so.
-async fn start_doomed() -> (FakePeer, CutRelay) {
+/// Starts a peer that never replies, behind a relay by which the test breaks its connections.
+async fn start_breakable_peer() -> (FakePeer, CutRelay) {
     let peer = FakePeer::start(PeerScript::Hang).await;
     let relay = CutRelay::start(peer.address, Duration::ZERO).await;
     (peer, relay.unwrap())
 }
 
 async fn unkeyed_case() {
-    let (peer, relay) = start_doomed().await;
+    let (peer, relay) = start_breakable_peer().await;
     let successor = FakePeer::start(PeerScript::Reply(DONE)).await;
-    let bench = GatewayBench::new([relay.address(), NOWHERE, NOWHERE], USUAL_LEASE);
+    let bench = GatewayBench::new(
+        [relay.address(), UNREACHABLE_ADDRESS, UNREACHABLE_ADDRESS],
+        USUAL_LEASE,
+    );
     let running = bench.start(grant());
-    peer.wait_taken(1).await;
+    peer.wait_received(1).await;
     bench.take_over(successor.address);
     relay.stop().await;
     assert_eq!(running.await.unwrap().verdict, DOUBT);
-    assert!(successor.taken().is_empty());
+    assert!(successor.received().is_empty());
     peer.stop().await;
     successor.stop().await;
 }
 
-async fn resend_case(ask: Ask) {
-    let (peer, relay) = start_doomed().await;
+async fn resend_case(builder: RequestBuilder) {
+    let (peer, relay) = start_breakable_peer().await;
     let successor = FakePeer::start(PeerScript::Reply(DONE)).await;
-    let bench = GatewayBench::new([relay.address(), NOWHERE, NOWHERE], USUAL_LEASE);
-    let running = bench.start(ask);
-    peer.wait_taken(1).await;
+    let bench = GatewayBench::new(
+        [relay.address(), UNREACHABLE_ADDRESS, UNREACHABLE_ADDRESS],
+        USUAL_LEASE,
+    );
+    let running = bench.start(builder);
+    peer.wait_received(1).await;
     relay.stop().await;
     bench.take_over(successor.address);
     assert_eq!(running.await.unwrap().verdict, DONE);
-    assert_eq!(peer.taken().len(), 1);
-    assert_eq!(successor.taken().len(), 1);
+    assert_eq!(peer.received().len(), 1);
+    assert_eq!(successor.received().len(), 1);
     peer.stop().await;
     successor.stop().await;
 }
 
 async fn refused_resend_case(kind: &str, doubtful: bool) {
-    let (peer, relay) = start_doomed().await;
+    let (peer, relay) = start_breakable_peer().await;
     let overload = RequestVerdict::refused(RefusalCause::Overload, 40);
     let successor = FakePeer::start(PeerScript::Reply(overload.clone())).await;
-    let bench = GatewayBench::new([relay.address(), NOWHERE, NOWHERE], USUAL_LEASE);
-    let running = bench.start(Ask::new(kind, "append case-7 x").key(RequestKey::fresh()));
-    peer.wait_taken(1).await;
+    let bench = GatewayBench::new(
+        [relay.address(), UNREACHABLE_ADDRESS, UNREACHABLE_ADDRESS],
+        USUAL_LEASE,
+    );
+    let running =
+        bench.start(RequestBuilder::new(kind, "append case-7 x").key(RequestKey::fresh()));
+    peer.wait_received(1).await;
     relay.stop().await;
     bench.take_over(successor.address);
     let expected = if doubtful { DOUBT } else { overload };
@@ -217,7 +237,7 @@
 }
 
 async fn lost_transaction_case() {
-    let bench = GatewayBench::new([NOWHERE; 3], USUAL_LEASE);
+    let bench = GatewayBench::new([UNREACHABLE_ADDRESS; 3], USUAL_LEASE);
     let id = TransactionId::fresh();
     let steps = [TransactionStep::Within(id), TransactionStep::Commit(id)];
     for step in steps {
@@ -228,11 +248,14 @@
 }
 
 async fn lost_commit_case() {
-    let (peer, relay) = start_doomed().await;
-    let bench = GatewayBench::new([relay.address(), NOWHERE, NOWHERE], USUAL_LEASE);
+    let (peer, relay) = start_breakable_peer().await;
+    let bench = GatewayBench::new(
+        [relay.address(), UNREACHABLE_ADDRESS, UNREACHABLE_ADDRESS],
+        USUAL_LEASE,
+    );
     let commit = TransactionStep::Commit(TransactionId::fresh());
     let running = bench.start(grant().step(commit));
-    peer.wait_taken(1).await;
+    peer.wait_received(1).await;
     relay.stop().await;
     assert_eq!(running.await.unwrap().verdict, DOUBT);
     peer.stop().await;
@@ -240,19 +263,25 @@
 
 async fn relay_case() {
     let standby = FakePeer::start(PeerScript::Reply(DONE)).await;
-    let bench = GatewayBench::new([NOWHERE, NOWHERE, standby.address], ENDLESS_LEASE);
+    let bench = GatewayBench::new(
+        [UNREACHABLE_ADDRESS, UNREACHABLE_ADDRESS, standby.address],
+        ENDLESS_LEASE,
+    );
     assert_eq!(bench.execute(grant()).await, DONE);
-    let taken = standby.taken();
-    assert_eq!(taken.len(), 1);
-    assert!(taken[0].relayed);
+    let received = standby.received();
+    assert_eq!(received.len(), 1);
+    assert!(received[0].relayed);
     standby.stop().await;
 }
 
 async fn lost_relay_case() {
-    let (standby, relay) = start_doomed().await;
-    let bench = GatewayBench::new([NOWHERE, relay.address(), NOWHERE], ENDLESS_LEASE);
+    let (standby, relay) = start_breakable_peer().await;
+    let bench = GatewayBench::new(
+        [UNREACHABLE_ADDRESS, relay.address(), UNREACHABLE_ADDRESS],
+        ENDLESS_LEASE,
+    );
     let running = bench.start(grant());
-    standby.wait_taken(1).await;
+    standby.wait_received(1).await;
     relay.stop().await;
     assert_eq!(running.await.unwrap().verdict, DOUBT);
     standby.stop().await;
@@ -267,14 +296,17 @@
         panic!("{verdict:?}");
     };
     assert_eq!(refusal.cause, RefusalCause::NoLease);
-    assert!(peer.taken().is_empty());
+    assert!(peer.received().is_empty());
     peer.stop().await;
 }
 
 async fn describe_successor_case() {
-    let (peer, relay) = start_doomed().await;
+    let (peer, relay) = start_breakable_peer().await;
     let successor = FakePeer::start(PeerScript::Reply(DONE)).await;
-    let bench = GatewayBench::new([relay.address(), NOWHERE, NOWHERE], USUAL_LEASE);
+    let bench = GatewayBench::new(
+        [relay.address(), UNREACHABLE_ADDRESS, UNREACHABLE_ADDRESS],
+        USUAL_LEASE,
+    );
     let request = ShapeRequest {
         id: StatementId::fresh(),
         customer: "omuti".into(),
@@ -287,7 +319,7 @@
     };
     let gateway = Arc::clone(&bench.gateway);
     let running = tokio::spawn(async move { gateway.describe(request).await });
-    peer.wait_taken(1).await;
+    peer.wait_received(1).await;
     relay.stop().await;
     bench.take_over(successor.address);
     let reply = running.await.unwrap();
--- a/crates/daemon/tests/pieces/limits.rs
+++ b/crates/daemon/tests/pieces/limits.rs
@@ -1,4 +1,4 @@
-//! What a VM tells the one that keeps accounts' ledgers.
+//! The account limiter's requests to the VM that keeps the accounts' ledgers.
 
 use crate::bench::create_record;
 use crate::bench::create_view;
@@ -23,26 +23,26 @@
 use tokio::time::sleep;
 
 failure_cases! {
-    /// All VMs come back at once, and one learns that another leads a group before that one does. What it
-    /// declares isn't taken then. Told once only, the ledger lent next to nothing for two seconds, and most
-    /// of what callers asked for below their limits was refused.
+    /// All VMs restart at once, and one of them learns that another leads a group before that one knows
+    /// it, so the other does not accept its declaration. When the declaration was sent once only, the
+    /// ledger granted almost nothing for two seconds, and most requests below their accounts' limits were refused.
     declaration_that_was_not_taken_is_made_again => declaration_case();
 }
 
 async fn declaration_case() {
-    let seen: Arc<Mutex<Vec<LimitRequest>>> = Arc::default();
-    let mut module = RpcModule::new(Arc::clone(&seen));
+    let received: Arc<Mutex<Vec<LimitRequest>>> = Arc::default();
+    let mut module = RpcModule::new(Arc::clone(&received));
     module
         .register_method(
             "peer_lendLimits",
-            |params, seen, _| -> RpcResult<serde_json::Value> {
+            |params, received, _| -> RpcResult<serde_json::Value> {
                 let request: LimitRequest = params.one()?;
-                let mut seen = seen.lock().unwrap();
-                let declared = match seen.len() {
+                let mut received = received.lock().unwrap();
+                let declared = match received.len() {
                     0 => Vec::new(),
                     _ => request.declared.clone(),
                 };
-                seen.push(request);
+                received.push(request);
                 let reply = LimitReply {
                     grants: Vec::new(),
                     declared,
@@ -52,9 +52,9 @@
         )
         .unwrap();
     let server = Server::builder().build("127.0.0.1:0").await.unwrap();
-    let keeper = server.local_addr().unwrap();
+    let ledger_address = server.local_addr().unwrap();
     let _server = server.start(module);
-    let mut view = create_view([keeper; 3], &create_record("vm-2", 1), true);
+    let mut view = create_view([ledger_address; 3], &create_record("vm-2", 1), true);
     let account = AccountTerms {
         name: "directorate".into(),
         seal: Default::default(),
@@ -71,24 +71,24 @@
         items: vec![CatalogItem::Account(Box::new(account))],
     };
     Arc::make_mut(&mut view.copy).apply_delta(&delta).unwrap();
-    let (view, follower) = watch::channel(view);
-    let asker = MemberId {
+    let (view, receiver) = watch::channel(view);
+    let member = MemberId {
         vm: "vm-of-the-asker".into(),
         incarnation: VmIncarnation(1),
     };
     let limiter = Arc::new(AccountLimiter::new(
         NodeClock::start(),
-        asker,
+        member,
         Duration::from_secs(5),
-        follower,
+        receiver,
         LimitTolerance::default(),
     ));
     let (stop, stopped) = watch::channel(false);
     let task = tokio::spawn(Arc::clone(&limiter).run(stopped));
-    while seen.lock().unwrap().len() < 2 {
+    while received.lock().unwrap().len() < 2 {
         sleep(Duration::from_millis(5)).await;
     }
-    let requests = seen.lock().unwrap().clone();
+    let requests = received.lock().unwrap().clone();
     assert_eq!(requests[0].declared, requests[1].declared);
     assert_eq!(requests[0].declared.len(), 1);
     stop.send_replace(true);
--- a/crates/daemon/tests/pieces/main.rs
+++ b/crates/daemon/tests/pieces/main.rs
@@ -1,4 +1,4 @@
-//! Failure tests of the daemon's pieces, with small fakes at their interfaces.
+//! Failure tests of the daemon's components, each run against test doubles of its peers.
 
 #[macro_use]
 mod cases;
--- a/crates/daemon/tests/pieces/peer.rs
+++ b/crates/daemon/tests/pieces/peer.rs
@@ -1,4 +1,5 @@
-//! Another VM, as far as a gateway or a leaseholder meets it: a few calls, answered as told.
+//! A test double of another VM: serves the few peer calls that gateways and leaseholders make, and
+//! answers them as the test sets.
 
 use jsonrpsee::RpcModule;
 use jsonrpsee::server::Server;
@@ -27,30 +28,32 @@
 use tokio::sync::oneshot;
 use tokio::sync::watch;
 
-/// What a peer does with statements.
+/// A peer's handling of statements.
 #[derive(Clone, Debug)]
 pub enum PeerScript {
     /// Replies with this verdict.
     Reply(RequestVerdict),
-    /// Takes the statement and never replies.
+    /// Receives the statement and never replies.
     Hang,
     /// Passes statements and descriptions on to a group's task, as a leaseholder does.
-    Lead(mpsc::Sender<GroupEvent>),
+    Forward(mpsc::Sender<GroupEvent>),
 }
 
-/// What a peer is made of.
+/// The state that a peer's calls share.
 pub struct PeerState {
     script: Mutex<PeerScript>,
-    taken: watch::Sender<Vec<TakenCall>>,
-    holds: watch::Sender<bool>,
-    leads: watch::Sender<bool>,
+    received: watch::Sender<Vec<ReceivedCall>>,
+    /// Whether journal appends are answered; they wait while it is unset.
+    journaling: watch::Sender<bool>,
+    /// The answer to passed announcements.
+    leading: watch::Sender<bool>,
     standby: Option<mpsc::Sender<StandbyEvent>>,
 }
 
-/// A call that the peer took.
+/// A statement or description that the peer received.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TakenCall {
-    /// Whether it was to be passed on.
+pub struct ReceivedCall {
+    /// Whether the peer was asked to relay it to the leaseholder.
     pub relayed: bool,
     /// The statement's text.
     pub text: String,
@@ -64,11 +67,12 @@
 }
 
 impl FakePeer {
+    /// Starts a peer that holds no journals.
     pub async fn start(script: PeerScript) -> Self {
         Self::start_with(script, None).await
     }
 
-    /// Starts a peer that holds journals in a standby's task.
+    /// Starts a peer whose journals are held by a standby's task.
     pub async fn start_standby(standby: mpsc::Sender<StandbyEvent>) -> Self {
         Self::start_with(PeerScript::Hang, Some(standby)).await
     }
@@ -76,9 +80,9 @@
     async fn start_with(script: PeerScript, standby: Option<mpsc::Sender<StandbyEvent>>) -> Self {
         let state = Arc::new(PeerState {
             script: Mutex::new(script),
-            taken: watch::Sender::new(Vec::new()),
-            holds: watch::Sender::new(true),
-            leads: watch::Sender::new(false),
+            received: watch::Sender::new(Vec::new()),
+            journaling: watch::Sender::new(true),
+            leading: watch::Sender::new(false),
             standby,
         });
         let server = Server::builder().build("127.0.0.1:0").await.unwrap();
@@ -91,29 +95,33 @@
         }
     }
 
-    /// Lets the peer answer to journal entries, or be silent.
-    pub fn set_holding(&self, holds: bool) {
-        self.state.holds.send_replace(holds);
+    /// Sets whether the peer answers journal appends or leaves them waiting.
+    pub fn set_journaling(&self, journaling: bool) {
+        self.state.journaling.send_replace(journaling);
     }
 
-    /// Lets the peer say of itself that it leads the groups whose endpoints are announced to it.
-    pub fn set_leading(&self, leads: bool) {
-        self.state.leads.send_replace(leads);
+    /// Sets whether the peer claims to lead the groups whose endpoints are announced to it.
+    pub fn set_leading(&self, leading: bool) {
+        self.state.leading.send_replace(leading);
     }
 
-    /// Changes what the peer does with statements from now on.
+    /// Sets the handling of statements that arrive from now on.
     pub fn set_script(&self, script: PeerScript) {
         *self.state.script.lock().unwrap() = script;
     }
 
-    pub fn taken(&self) -> Vec<TakenCall> {
-        self.state.taken.borrow().clone()
+    /// Returns the statements and descriptions received so far.
+    pub fn received(&self) -> Vec<ReceivedCall> {
+        self.state.received.borrow().clone()
     }
 
-    /// Waits until the peer has taken so many statements.
-    pub async fn wait_taken(&self, count: usize) {
-        let mut taken = self.state.taken.subscribe();
-        taken.wait_for(|taken| taken.len() >= count).await.unwrap();
+    /// Waits until the peer has received at least `count` statements and descriptions.
+    pub async fn wait_received(&self, count: usize) {
+        let mut received = self.state.received.subscribe();
+        received
+            .wait_for(|received| received.len() >= count)
+            .await
+            .unwrap();
     }
 
     pub async fn stop(self) {
@@ -158,7 +166,7 @@
         .unwrap();
     module
         .register_async_method("peer_passAnnouncement", |_, state, _| async move {
-            CallResult::Ok(*state.leads.borrow())
+            CallResult::Ok(*state.leading.borrow())
         })
         .unwrap();
     module
@@ -167,11 +175,13 @@
     module
 }
 
-fn untaken() -> ErrorObjectOwned {
-    ErrorObjectOwned::owned(-32_000, "the call was not taken", None::<()>)
+/// Creates the error for a call that the standby's task dropped without an answer.
+fn standby_dropped() -> ErrorObjectOwned {
+    ErrorObjectOwned::owned(-32_000, "the standby dropped the call", None::<()>)
 }
 
-/// Commits the confirmation of a journal, as a control VM does; leaves everything else open.
+/// Answers a command as a control VM: confirmations of journals are committed, everything else finds no
+/// leader.
 fn answer_command(request: &CommandRequest) -> CommandReply {
     match request.command {
         CatalogCommand::ConfirmJournal(_) => {
@@ -182,10 +192,11 @@
 }
 
 impl PeerState {
-    fn note(&self, relayed: bool, text: &str) -> PeerScript {
+    /// Records a call and returns the current script.
+    fn record_call(&self, relayed: bool, text: &str) -> PeerScript {
         let text = text.to_owned();
-        self.taken
-            .send_modify(|taken| taken.push(TakenCall { relayed, text }));
+        self.received
+            .send_modify(|received| received.push(ReceivedCall { relayed, text }));
         self.script.lock().unwrap().clone()
     }
 
@@ -194,14 +205,14 @@
         request: StatementRequest,
         relayed: bool,
     ) -> CallResult<StatementReply> {
-        match self.note(relayed, &request.text) {
+        match self.record_call(relayed, &request.text) {
             PeerScript::Reply(verdict) => Ok(StatementReply {
                 id: request.id,
                 verdict,
                 served_by: None,
             }),
             PeerScript::Hang => std::future::pending().await,
-            PeerScript::Lead(inbox) => {
+            PeerScript::Forward(inbox) => {
                 let (reply, answer) = oneshot::channel();
                 let event = GroupEvent::Statement(Box::new(request), reply);
                 inbox.send(event).await.unwrap();
@@ -211,7 +222,7 @@
     }
 
     async fn describe(&self, request: ShapeRequest) -> CallResult<ShapeReply> {
-        match self.note(request.relay, &request.text) {
+        match self.record_call(request.relay, &request.text) {
             PeerScript::Reply(RequestVerdict::NotRun(refusal)) => Ok(ShapeReply {
                 id: request.id,
                 outcome: ShapeOutcome::Refused(refusal),
@@ -221,7 +232,7 @@
                 outcome: ShapeOutcome::Known(Default::default()),
             }),
             PeerScript::Hang => std::future::pending().await,
-            PeerScript::Lead(inbox) => {
+            PeerScript::Forward(inbox) => {
                 let (reply, answer) = oneshot::channel();
                 let event = GroupEvent::Describe(Box::new(request), reply);
                 inbox.send(event).await.unwrap();
@@ -232,23 +243,25 @@
 
     async fn append_journal(&self, params: Params<'static>) -> CallResult<serde_json::Value> {
         let append: JournalAppend = params.one()?;
-        let mut holds = self.holds.subscribe();
-        holds.wait_for(|holds| *holds).await.unwrap();
+        let mut journaling = self.journaling.subscribe();
+        journaling.wait_for(|journaling| *journaling).await.unwrap();
         let (reply, answer) = oneshot::channel();
-        self.ask(StandbyEvent::Append(append, reply)).await;
-        let reply = answer.await.map_err(|_| untaken())?;
+        self.send_to_standby(StandbyEvent::Append(append, reply))
+            .await;
+        let reply = answer.await.map_err(|_| standby_dropped())?;
         Ok(serde_json::to_value(reply).unwrap())
     }
 
     async fn read_journal(&self, params: Params<'static>) -> CallResult<serde_json::Value> {
         let request: JournalRequest = params.one()?;
         let (reply, answer) = oneshot::channel();
-        self.ask(StandbyEvent::Read(request, reply)).await;
-        let copy = answer.await.map_err(|_| untaken())?;
+        self.send_to_standby(StandbyEvent::Read(request, reply))
+            .await;
+        let copy = answer.await.map_err(|_| standby_dropped())?;
         Ok(serde_json::to_value(copy).unwrap())
     }
 
-    async fn ask(&self, event: StandbyEvent) {
+    async fn send_to_standby(&self, event: StandbyEvent) {
         let standby = self.standby.as_ref().expect("the peer is a standby");
         standby.send(event).await.unwrap();
     }
--- a/crates/daemon/tests/pieces/peers.rs
+++ b/crates/daemon/tests/pieces/peers.rs
@@ -1,6 +1,6 @@
-//! Links between VMs: what a failed call says of whether it ran.
+//! Links for calls between VMs: whether a failed call may have run.
 
-use crate::bench::NOWHERE;
+use crate::bench::UNREACHABLE_ADDRESS;
 use crate::peer::FakePeer;
 use crate::peer::PeerScript;
 use jsonrpsee_ws_client::WsClient;
@@ -25,36 +25,39 @@
 /// A limit that no test lasts for.
 const HOUR: Duration = Duration::from_secs(3_600);
 
-/// A limit that is meant to run out.
+/// A limit that a test lets expire.
 const SHORT: Duration = Duration::from_millis(200);
 
 failure_cases! {
-    /// The other VM is down before the call: no connection can be had, and the caller may be told
-    /// that its statement did not run.
+    /// The other VM is down before the call. No connection can be opened, so the call was not run.
     unreachable_peer_has_not_run_the_call => unreachable_case();
-    /// A new connection is accepted and nothing comes back on it, as through a host that is cut
-    /// off. The call was not handed over.
+    /// A new connection is accepted, but nothing comes back on it, as through a host that is cut off. The
+    /// call was not sent.
     hanging_connection_has_not_run_the_call => hanging_case();
-    /// The link breaks while the other VM works on the call: it may have run.
+    /// The link breaks while the other VM runs the call, which may have taken effect.
     link_lost_during_a_call_leaves_doubt => lost_case();
-    /// Something on the path has forgotten the link. It looks open and never answers again, while
-    /// new connections work. One call is lost to find that out; the next one works.
+    /// The network path has dropped the connection's state. The link looks open and never answers, while
+    /// new connections work. One call times out on it; the next one uses a new connection.
     silent_link_is_replaced => silent_case();
-    /// The link falls silent while the other VM works on a call that may take an hour. The caller
-    /// must not wait that long to hear that the outcome is unknown.
+    /// The link goes silent while the other VM runs a call with a limit of an hour. The caller must learn
+    /// that the outcome is unknown well before that.
     silence_ends_a_call_before_its_limit => silent_call_case();
-    /// The other VM answers with an error of its own. The link is fine; but the call got through.
+    /// The other VM answers with an error. The link stays usable, but the call reached the VM and may have
+    /// run.
     rejected_call_may_have_run => rejected_case();
-    /// An endpoint says that it leaves. Where its leaseholder was, a VM answers that doesn't lead its group.
-    /// If the endpoint were told that its leaseholder knows, it would go while it is still sent statements.
+    /// An endpoint announces that it is leaving, and a VM that doesn't lead its group answers at its
+    /// leaseholder's former address. If the announcement counted as delivered, the endpoint would stop
+    /// while the leaseholder still sends it statements.
     announcement_that_another_vm_takes_has_not_reached_the_leaseholder => misdirected_case();
 }
 
+/// Calls `peer_ping` of the VM at this address.
 async fn ping(links: &PeerLinks, address: SocketAddr, limit: Duration) -> Result<(), LinkError> {
     let call = |client: Arc<WsClient>| async move { client.ping().await };
     links.call(address, limit, call).await
 }
 
+/// Starts a peer that never replies, behind a relay by which the test breaks its connections.
 async fn start_relayed() -> (FakePeer, CutRelay) {
     let peer = FakePeer::start(PeerScript::Hang).await;
     let relay = CutRelay::start(peer.address, Duration::ZERO).await;
@@ -63,7 +66,7 @@
 
 async fn unreachable_case() {
     let links = PeerLinks::new(LONG);
-    let error = ping(&links, NOWHERE, LONG).await.unwrap_err();
+    let error = ping(&links, UNREACHABLE_ADDRESS, LONG).await.unwrap_err();
     assert_eq!(error, LinkError::Unreachable);
     assert!(!error.may_have_run());
 }
@@ -81,11 +84,11 @@
 async fn lost_case() {
     let (peer, relay) = start_relayed().await;
     let links = PeerLinks::new(LONG);
-    let request = crate::bench::Ask::new("grant", "append case-7 grant").into_request();
+    let request = crate::bench::RequestBuilder::new("grant", "append case-7 grant").into_request();
     let call = |client: Arc<WsClient>| async move { client.execute(request).await };
     let address = relay.address();
     let (ended, ()) = tokio::join!(links.call(address, LONG, call), async {
-        peer.wait_taken(1).await;
+        peer.wait_received(1).await;
         relay.stop().await;
     });
     let error = ended.unwrap_err();
@@ -109,11 +112,11 @@
 async fn silent_call_case() {
     let (peer, relay) = start_relayed().await;
     let links = PeerLinks::new(LONG);
-    let request = crate::bench::Ask::new("grant", "append case-7 grant").into_request();
+    let request = crate::bench::RequestBuilder::new("grant", "append case-7 grant").into_request();
     let call = |client: Arc<WsClient>| async move { client.execute(request).await };
     let address = relay.address();
     let (ended, ()) = tokio::join!(links.call(address, HOUR, call), async {
-        peer.wait_taken(1).await;
+        peer.wait_received(1).await;
         relay.forget_connections();
     });
     assert_eq!(ended.unwrap_err(), LinkError::Lost);
@@ -124,7 +127,7 @@
 async fn rejected_case() {
     let peer = FakePeer::start(PeerScript::Hang).await;
     let links = PeerLinks::new(LONG);
-    // The fake knows no such call, as a VM of an older version doesn't.
+    // The test double doesn't implement this call, like a VM of an older version.
     let call = |client: Arc<WsClient>| async move { client.control_identity().await };
     let error = links.call(peer.address, LONG, call).await.unwrap_err();
     assert!(matches!(error, LinkError::Rejected(_)), "{error:?}");
@@ -142,8 +145,8 @@
         group: "cases".into(),
         instance: "cases-1".into(),
         domain: "windhoek-a".into(),
-        data_address: NOWHERE,
-        agent_address: NOWHERE,
+        data_address: UNREACHABLE_ADDRESS,
+        agent_address: UNREACHABLE_ADDRESS,
         slots: 2,
         connections: 16,
         status: InstanceStatus {
--- a/crates/daemon/tests/pieces/plans.rs
+++ b/crates/daemon/tests/pieces/plans.rs
@@ -1,4 +1,4 @@
-//! Plans of handovers that many groups share.
+//! The handover planner, whose plans all leaseholders of a VM share.
 
 use ragwort_control::CatalogCopy;
 use ragwort_types::CatalogDelta;
@@ -17,12 +17,12 @@
 use std::sync::Arc;
 
 failure_cases! {
-    /// Each of a VM's groups made the plan of all groups, at each change of the catalog: hundreds of groups
-    /// took its processor, and leases ended.
+    /// Each leaseholder of a VM once computed the plan of all groups at every change of the catalog. With
+    /// hundreds of groups that used up the CPU until leases expired. Now a revision is planned once.
     groups_of_a_vm_share_a_plan => shared_case();
 }
 
-fn describe_member(vm: &str, draining: bool) -> CatalogItem {
+fn create_member(vm: &str, draining: bool) -> CatalogItem {
     CatalogItem::Member(MemberRecord {
         id: MemberId {
             vm: vm.into(),
@@ -40,7 +40,8 @@
     })
 }
 
-fn describe_group(name: &str) -> CatalogItem {
+/// Creates the record of a group that `vm-1` leads.
+fn create_group(name: &str) -> CatalogItem {
     CatalogItem::Group(Box::new(GroupRecord {
         placement: GroupPlacement {
             group: name.into(),
@@ -58,13 +59,13 @@
     }))
 }
 
-/// Creates a copy in which the first of two VMs leads two groups.
+/// Creates a catalog copy with two VMs, the first of which leads both groups.
 fn create_copy(revision: u64, draining: bool) -> CatalogCopy {
     let items = vec![
-        describe_member("vm-1", draining),
-        describe_member("vm-2", false),
-        describe_group("cases"),
-        describe_group("rulings"),
+        create_member("vm-1", draining),
+        create_member("vm-2", false),
+        create_group("cases"),
+        create_group("rulings"),
     ];
     let mut copy = CatalogCopy::new();
     let delta = CatalogDelta {
@@ -81,11 +82,16 @@
     let serving = create_copy(1, false);
     let plans = planner.plan(&serving, &"vm-1".into());
     let again = planner.clone().plan(&serving, &"vm-1".into());
-    assert!(Arc::ptr_eq(&plans, &again), "the plan was made twice");
+    assert!(
+        Arc::ptr_eq(&plans, &again),
+        "the same revision was planned twice"
+    );
     let draining = create_copy(2, true);
     let plans = planner.plan(&draining, &"vm-1".into());
     for group in ["cases", "rulings"] {
-        let plan = plans.due(&group.into()).expect("the VM drains");
+        let plan = plans
+            .due(&group.into())
+            .expect("a draining VM's group has a plan");
         assert_eq!(plan.leaseholder.as_str(), "vm-2");
     }
 }
--- a/crates/daemon/tests/pieces/scripted.rs
+++ b/crates/daemon/tests/pieces/scripted.rs
@@ -1,4 +1,4 @@
-//! An endpoint whose every answer is told by the test, for faults that no honest endpoint shows.
+//! An endpoint with canned answers, for faults that the lab's endpoint never shows.
 
 use async_trait::async_trait;
 use futures::Sink;
@@ -29,16 +29,17 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinSet;
 
-/// Starts an endpoint that answers every statement with its text, and echoes `echoed`, if given, in
-/// place of the id that it is asked to echo.
-pub async fn start_scripted(echoed: Option<&'static str>) -> (SocketAddr, JoinSet<()>) {
+/// Starts an endpoint that answers every simple query with its own text and every extended query with
+/// one row of [`typed_fields`]. If `forged_id` is given, it answers position queries with that id
+/// instead of the statement's.
+pub async fn start_scripted(forged_id: Option<&'static str>) -> (SocketAddr, JoinSet<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let mut tasks = JoinSet::new();
     tasks.spawn(async move {
         let mut connections = JoinSet::new();
         while let Ok((socket, _)) = listener.accept().await {
-            let handlers = ScriptedHandlers(Arc::new(ScriptedEndpoint { echoed }));
+            let handlers = ScriptedHandlers(Arc::new(ScriptedEndpoint { forged_id }));
             connections.spawn(async move {
                 let _ = process_socket(socket, None, handlers).await;
             });
@@ -47,8 +48,9 @@
     (address, tasks)
 }
 
+/// The handler of one connection.
 struct ScriptedEndpoint {
-    echoed: Option<&'static str>,
+    forged_id: Option<&'static str>,
 }
 
 struct ScriptedHandlers(Arc<ScriptedEndpoint>);
@@ -78,7 +80,7 @@
         PgWireError: From<<C as Sink<PgWireBackendMessage>>::Error>,
     {
         let values = match query.strip_prefix("show ragwort_position ") {
-            Some(id) => vec![self.echoed.unwrap_or(id), "1", "7", "cases-1"],
+            Some(id) => vec![self.forged_id.unwrap_or(id), "1", "7", "cases-1"],
             None => vec![query],
         };
         let names = match values.len() {
@@ -99,7 +101,7 @@
     }
 }
 
-/// The columns of every statement of the extended protocol, none of them text.
+/// Returns the columns of every extended query's answer; all are in binary format and none is text.
 fn typed_fields() -> Vec<FieldInfo> {
     let types = [
         ("small", Type::INT2),
@@ -146,7 +148,7 @@
     }
 }
 
-/// Takes every text for a statement without parameters.
+/// A parser that accepts every text as a statement without parameters.
 struct TypedParser;
 
 #[async_trait]
--- a/crates/daemon/tests/pieces/shapes.rs
+++ b/crates/daemon/tests/pieces/shapes.rs
@@ -1,7 +1,8 @@
-//! Prepared statements from a driver through edge, gateway and leaseholder to an endpoint.
+//! Prepared statements, from a PostgreSQL driver through caller edge, gateway and leaseholder to an
+//! endpoint.
 
 use crate::bench::GroupBench;
-use crate::bench::NOWHERE;
+use crate::bench::UNREACHABLE_ADDRESS;
 use crate::bench::create_record;
 use crate::bench::create_view;
 use crate::bench::plain_links;
@@ -25,27 +26,27 @@
 use tokio_postgres::NoTls;
 
 failure_cases! {
-    /// A driver prepares each statement before it runs it, as most do by default.
-    driver_prepares_reads_and_writes => drive_case();
-    /// A prepared read finds nothing: the driver gets no row, and no error.
+    /// A driver prepares each statement before it executes it, as most drivers do by default.
+    driver_prepares_reads_and_writes => prepared_statements_case();
+    /// A prepared read finds no row. The driver gets an empty result and no error.
     prepared_read_that_finds_nothing_is_empty => empty_case();
-    /// A driver prepares a statement that the database doesn't understand. The caller reads the
-    /// database's error, and the session goes on.
+    /// A driver prepares a statement that the database rejects. The caller gets the database's error,
+    /// and its session stays usable.
     unknown_statement_fails_to_prepare => unknown_case();
-    /// A statement is prepared within a transaction, on the connection that the transaction holds.
+    /// A statement in a transaction is prepared on the transaction's own connection.
     transaction_prepares_on_its_own_connection => transaction_case();
-    /// A mistake in a statement that is prepared within a transaction fails the transaction, as it
-    /// does without a proxy. Nothing of it must be committed.
+    /// Preparing an invalid statement in a transaction aborts the transaction, as it does without a
+    /// proxy. None of its writes may be committed.
     failed_preparation_fails_its_transaction => failed_transaction_case();
-    /// All slots of the primary are taken by long statements. A preparation waits its turn; it
-    /// neither takes a connection from work nor is it lost.
+    /// Long statements occupy all slots of the primary. A preparation waits for a free slot; it neither
+    /// takes the connection of a running statement nor is it lost.
     preparation_waits_while_all_slots_are_taken => busy_case();
-    /// All connections to the endpoints have gone silent. The preparation finds that out and gets
-    /// its answer over a new connection.
+    /// No connection to an endpoint answers any more. The preparation detects that and gets its
+    /// answer over a new connection.
     preparation_outlives_silent_connections => silent_case();
 }
 
-/// A caller's way to a group's leaseholder.
+/// A caller edge and its gateway, in front of a group's leaseholder.
 struct CallerBench {
     group: GroupBench,
     leader: FakePeer,
@@ -58,8 +59,8 @@
 impl CallerBench {
     async fn start() -> Self {
         let group = GroupBench::start().await;
-        let leader = FakePeer::start(PeerScript::Lead(group.inbox.clone())).await;
-        let addresses = [leader.address, NOWHERE, NOWHERE];
+        let leader = FakePeer::start(PeerScript::Forward(group.inbox.clone())).await;
+        let addresses = [leader.address, UNREACHABLE_ADDRESS, UNREACHABLE_ADDRESS];
         let view = create_view(addresses, &create_record("vm-1", 1), true);
         let (_, view) = watch::channel(view);
         let lease = Duration::from_secs(1);
@@ -94,6 +95,7 @@
         }
     }
 
+    /// Connects a driver as the bench's customer.
     async fn connect(&self) -> Client {
         let mut config = Config::new();
         config.hostaddr(self.address.ip()).port(self.address.port());
@@ -114,12 +116,13 @@
     }
 }
 
+/// Reads a key with a prepared statement.
 async fn read(client: &Client, key: &str) -> Option<String> {
     let rows = client.query("/*kind='fresh'*/ get $1", &[&key]).await;
     rows.unwrap()[0].get(0)
 }
 
-async fn drive_case() {
+async fn prepared_statements_case() {
     let bench = CallerBench::start().await;
     let client = bench.connect().await;
     client.execute("put $1 $2", &[&"k", &"v"]).await.unwrap();
--- a/crates/daemon/tests/pieces/statements.rs
+++ b/crates/daemon/tests/pieces/statements.rs
@@ -1,7 +1,7 @@
-//! Links that carry statements: what a failed call says of whether it ran, and how long it takes.
+//! Statement links between VMs: whether a failed call may have run, and how soon it fails.
 
-use crate::bench::Ask;
-use crate::bench::NOWHERE;
+use crate::bench::RequestBuilder;
+use crate::bench::UNREACHABLE_ADDRESS;
 use crate::bench::create_record;
 use crate::bench::create_view_with;
 use crate::bench::plain_links;
@@ -48,75 +48,79 @@
 /// A limit that no test lasts for.
 const HOUR: Duration = Duration::from_secs(3_600);
 
-/// A limit that is meant to run out.
+/// A limit that a test lets expire.
 const SHORT: Duration = Duration::from_millis(200);
 
-/// The text of a statement that the leaseholder never replies to.
+/// The text of a statement to which [`LengthRunner`] never replies.
 const HANGS: &str = "hangs";
 
-/// The text of a statement that the VM can bring to its leaseholder.
-const DETOUR: &str = "detour";
+/// The text of a statement that a gateway can forward to its leaseholder.
+const FORWARDED: &str = "detour";
 
-/// A statement whose group nobody leads.
-const UNLED: &str = "unled";
+/// The text of a statement whose group has no leaseholder.
+const NO_LEASEHOLDER: &str = "unled";
 
-/// The text of a statement whose reply the leaseholder has lost.
-const LOSES: &str = "loses";
+/// The text of a statement whose reply is lost at the leaseholder.
+const LOST_REPLY: &str = "loses";
 
 failure_cases! {
-    /// A hundred callers ask at once, and short statements overtake long ones. Each gets the reply to its
-    /// own statement; with another's rows, it would show one applicant the file of another.
-    replies_find_their_calls => crowd_case();
-    /// No leaseholder listens there. The statement has not run, and its caller may be told so.
+    /// A hundred calls run concurrently on one link, and short statements overtake long ones. Each call
+    /// gets the reply to its own statement; a mix-up would show one customer's rows to another.
+    replies_are_matched_to_their_calls => concurrent_calls_case();
+    /// Nothing listens at the leaseholder's address. The statement has not run, and the error says so.
     unreachable_leaseholder_has_not_run_the_call => unreachable_case();
-    /// The leaseholder's process hangs: its system accepts connections, and nothing answers on them. The
+    /// The leaseholder's process hangs: its kernel accepts connections, and nothing answers on them. The
     /// statement has not run, and its caller isn't left in doubt.
     hanging_process_has_not_run_the_call => hanging_case();
-    /// While a leaseholder is out of reach, statements keep coming. Each is refused at once: were they held
-    /// until an attempt to connect has timed out, their callers would have no time left for the successor.
+    /// Statements keep arriving while a leaseholder is unreachable. Each is refused at once: waiting for a
+    /// connection attempt to time out would leave their callers no time for the successor.
     calls_are_refused_while_a_leaseholder_is_out_of_reach => outage_case();
-    /// The connection breaks while the leaseholder works on a statement: it may have run.
+    /// The connection breaks while the leaseholder runs a statement, which may have taken effect.
     link_lost_during_a_call_leaves_doubt => lost_case();
-    /// The leaseholder's VM loses power with statements under way. Their callers hear that the outcome is
-    /// unknown long before their limit of an hour, and the next statement goes over a new connection.
+    /// The leaseholder's VM loses power while it runs statements. Their callers learn that the outcome is
+    /// unknown long before their limit of an hour, and the next statement uses a new connection.
     silence_ends_a_call_before_its_limit => silent_case();
-    /// A slow statement and nothing else is under way. The leaseholder answers the question whether it
-    /// lives, so the caller waits for its reply.
+    /// One slow statement is the only traffic on the link. The leaseholder answers the link's pings, so
+    /// the call goes on waiting for its reply.
     slow_statement_is_waited_for => slow_case();
-    /// The leaseholder's task ends with a statement under way. Only that one is in doubt.
+    /// The leaseholder's task ends without a reply to one statement. Only that statement is in doubt.
     lost_reply_leaves_the_link_alone => lost_reply_case();
-    /// A leaseholder's VM is restarted, and statements reach it in its last moments: gateways learn of the
-    /// handover a heartbeat later. Each is answered, or was never handed over. A connection that is closed
-    /// upon what its gateway has sent leaves callers in doubt about writes that nobody has run.
+    /// A leaseholder's VM shuts down while statements still arrive, because gateways learn of the handover
+    /// a heartbeat later. Each statement is answered or was never sent. If the connection were closed
+    /// with unread statements in it, callers would be in doubt about writes that were never run.
     stopping_leaseholder_answers_all_that_was_sent_to_it => stopping_case();
-    /// The same, and one statement is still under way: its reply is there before the connection ends.
-    stopping_leaseholder_brings_the_replies_under_way => last_reply_case();
-    /// Something that is no gateway connects and sends other bytes. Only its own connection ends.
-    other_bytes_end_their_own_connection_only => garbage_case();
-    /// A gateway finds a leaseholder's address for statements in the catalog and uses it.
+    /// A leaseholder's VM shuts down while it runs a statement. The reply is sent before the connection
+    /// closes.
+    stopping_leaseholder_sends_replies_in_progress => last_reply_case();
+    /// A client that doesn't speak the protocol connects and sends other bytes. Only its own connection
+    /// is closed.
+    malformed_bytes_close_only_their_own_connection => malformed_bytes_case();
+    /// A gateway takes a leaseholder's address for statement links from the catalog and uses it.
     gateway_uses_the_link => gateway_case();
-    /// A gateway is cut off from every control VM and leaseholder for seconds, and its lease has ended. Its
-    /// callers would all be refused meanwhile. Another gateway brings their statements to the leaseholder;
-    /// where that one is cut off too, the next one is asked, and if none is left the refusal is true.
-    gateway_that_is_cut_off_goes_by_another => detour_case();
-    /// A gateway is cut off, and one group has lost its leaseholder. Its neighbour says so. The statements
-    /// for other groups still go by the neighbour; taken for isolated, the gateway would refuse them all.
-    group_without_a_leaseholder_leaves_the_way_open => unled_case();
+    /// A gateway has been cut off from every control VM and leaseholder until its lease has ended. Instead
+    /// of refusing its callers, it forwards their statements through another gateway. Where that one is
+    /// cut off too, the next one is tried; if none is left, the statement is refused.
+    isolated_gateway_forwards_through_another => isolated_gateway_case();
+    /// A gateway is cut off, and another one reports that one group has no leaseholder. Statements for
+    /// other groups must still be forwarded; if the gateway took itself for isolated, it would refuse
+    /// them all.
+    group_without_a_leaseholder_does_not_isolate_the_gateway => no_leaseholder_case();
 }
 
-/// A leaseholder that answers each statement with the length of its text.
+/// A runner that answers each statement with the length of its text. The shorter the text, the later
+/// the reply: 100 ms less a millisecond for each byte.
 #[derive(Default)]
 struct LengthRunner {
-    taken: AtomicUsize,
+    received: AtomicUsize,
 }
 
 #[async_trait]
 impl StatementRunner for LengthRunner {
     async fn run_here(&self, request: StatementRequest) -> Option<StatementReply> {
-        self.taken.fetch_add(1, Ordering::SeqCst);
+        self.received.fetch_add(1, Ordering::SeqCst);
         match request.text.as_str() {
             HANGS => std::future::pending().await,
-            LOSES => None,
+            LOST_REPLY => None,
             text => {
                 let length = text.len() as u64;
                 tokio::time::sleep(Duration::from_millis(100 - length.min(100))).await;
@@ -126,18 +130,21 @@
     }
 
     async fn bring_on(&self, request: StatementRequest) -> StatementReply {
-        self.taken.fetch_add(1, Ordering::SeqCst);
+        self.received.fetch_add(1, Ordering::SeqCst);
         let mut reply = answer(&request, request.text.len() as u64);
         match request.text.as_str() {
-            DETOUR => {}
-            UNLED => reply.verdict = RequestVerdict::refused(RefusalCause::NoLeaseholder, 7),
-            // What a gateway says that is cut off itself.
+            FORWARDED => {}
+            NO_LEASEHOLDER => {
+                reply.verdict = RequestVerdict::refused(RefusalCause::NoLeaseholder, 7)
+            }
+            // The refusal by a gateway that is cut off too.
             _ => reply.verdict = RequestVerdict::refused(RefusalCause::NoLease, 7),
         }
         reply
     }
 }
 
+/// Creates a reply that reports `length` changed rows.
 fn answer(request: &StatementRequest, length: u64) -> StatementReply {
     StatementReply {
         id: request.id,
@@ -146,18 +153,20 @@
     }
 }
 
+/// Creates a write with this text.
 fn request(text: &str) -> StatementRequest {
-    Ask::new("grant", text).into_request()
+    RequestBuilder::new("grant", text).into_request()
 }
 
-struct Leaseholder {
+/// A VM that serves statement links with a [`LengthRunner`].
+struct TestLeaseholder {
     address: SocketAddr,
     runner: Arc<LengthRunner>,
     stop: watch::Sender<bool>,
     task: JoinHandle<()>,
 }
 
-impl Leaseholder {
+impl TestLeaseholder {
     async fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -177,8 +186,8 @@
         }
     }
 
-    async fn wait_taken(&self, count: usize) {
-        wait_until(|| self.runner.taken.load(Ordering::SeqCst) >= count).await;
+    async fn wait_received(&self, count: usize) {
+        wait_until(|| self.runner.received.load(Ordering::SeqCst) >= count).await;
     }
 
     async fn stop(self) {
@@ -191,6 +200,7 @@
     StatementLinks::new(NodeClock::start(), connect_timeout)
 }
 
+/// Calls with a limit of an hour.
 async fn call(
     links: &StatementLinks,
     address: SocketAddr,
@@ -201,14 +211,15 @@
         .await
 }
 
-async fn start_relayed() -> (Leaseholder, CutRelay) {
-    let leaseholder = Leaseholder::start().await;
+/// Starts a leaseholder behind a relay by which the test breaks its connections.
+async fn start_relayed() -> (TestLeaseholder, CutRelay) {
+    let leaseholder = TestLeaseholder::start().await;
     let relay = CutRelay::start(leaseholder.address, Duration::ZERO).await;
     (leaseholder, relay.unwrap())
 }
 
-async fn crowd_case() {
-    let leaseholder = Leaseholder::start().await;
+async fn concurrent_calls_case() {
+    let leaseholder = TestLeaseholder::start().await;
     let links = links(LONG);
     let calls = (1..=100).map(|length| {
         let links = &links;
@@ -239,7 +250,7 @@
 
 async fn unreachable_case() {
     let links = links(LONG);
-    let error = call(&links, NOWHERE, "x").await.unwrap_err();
+    let error = call(&links, UNREACHABLE_ADDRESS, "x").await.unwrap_err();
     assert_eq!(error, LinkError::Unreachable);
     assert!(!error.may_have_run());
     links.shut_down().await;
@@ -259,12 +270,12 @@
 async fn outage_case() {
     let (leaseholder, relay) = start_relayed().await;
     relay.set_mode(RelayMode::Hang);
-    // An attempt to connect takes longer than the whole case may.
+    // A connection attempt that hangs would outlast the case.
     let links = links(HOUR);
-    let first = call(&links, NOWHERE, "x").await;
+    let first = call(&links, UNREACHABLE_ADDRESS, "x").await;
     assert_eq!(first.unwrap_err(), LinkError::Unreachable);
     for _ in 0..50 {
-        let next = call(&links, NOWHERE, "x").await;
+        let next = call(&links, UNREACHABLE_ADDRESS, "x").await;
         assert_eq!(next.unwrap_err(), LinkError::Unreachable);
     }
     relay.set_mode(RelayMode::Open);
@@ -286,7 +297,7 @@
     let links = links(LONG);
     let address = relay.address();
     let (ended, ()) = tokio::join!(call(&links, address, HANGS), async {
-        leaseholder.wait_taken(1).await;
+        leaseholder.wait_received(1).await;
         relay.stop().await;
     });
     let error = ended.unwrap_err();
@@ -301,11 +312,11 @@
     let links = links(LONG);
     let address = relay.address();
     let (ended, ()) = tokio::join!(call(&links, address, HANGS), async {
-        leaseholder.wait_taken(1).await;
+        leaseholder.wait_received(1).await;
         relay.forget_connections();
     });
     assert_eq!(ended.unwrap_err(), LinkError::Lost);
-    // It is refused while the new connection is on its way.
+    // Calls are refused until the new connection is established.
     while call(&links, address, "x").await.is_err() {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
@@ -315,22 +326,22 @@
 }
 
 async fn slow_case() {
-    let leaseholder = Leaseholder::start().await;
+    let leaseholder = TestLeaseholder::start().await;
     let links = links(LONG);
     let waits = ragwort_policy::QUIET_TIME + ragwort_policy::ANSWER_TIME;
     let slow = call(&links, leaseholder.address, HANGS);
     let waited = tokio::time::timeout(waits * 3, slow).await;
-    assert!(waited.is_err(), "the link was given up");
+    assert!(waited.is_err(), "the call ended without a reply");
     assert!(call(&links, leaseholder.address, "x").await.is_ok());
     links.shut_down().await;
     leaseholder.stop().await;
 }
 
 async fn lost_reply_case() {
-    let leaseholder = Leaseholder::start().await;
+    let leaseholder = TestLeaseholder::start().await;
     let links = links(LONG);
     let (lost, fine) = tokio::join!(
-        call(&links, leaseholder.address, LOSES),
+        call(&links, leaseholder.address, LOST_REPLY),
         call(&links, leaseholder.address, "x"),
     );
     assert_eq!(lost.unwrap_err(), LinkError::Lost);
@@ -340,11 +351,11 @@
 }
 
 async fn stopping_case() {
-    let leaseholder = Leaseholder::start().await;
+    let leaseholder = TestLeaseholder::start().await;
     let links = links(LONG);
     let address = leaseholder.address;
     assert!(call(&links, address, "x").await.is_ok());
-    // A text of a hundred letters or more is answered at once.
+    // A text of 100 bytes or more is answered without a delay.
     let text = "x".repeat(100);
     let calls = (0..64).map(|_| async {
         let mut answered = 0;
@@ -357,7 +368,7 @@
         }
     });
     let (answered, ()) = tokio::join!(futures::future::join_all(calls), async {
-        leaseholder.wait_taken(1_000).await;
+        leaseholder.wait_received(1_000).await;
         leaseholder.stop().await;
     });
     assert!(answered.iter().sum::<usize>() >= 900);
@@ -365,19 +376,19 @@
 }
 
 async fn last_reply_case() {
-    let leaseholder = Leaseholder::start().await;
+    let leaseholder = TestLeaseholder::start().await;
     let links = links(LONG);
-    // It takes a tenth of a second.
+    // A text of one byte is answered after 99 ms.
     let (reply, ()) = tokio::join!(call(&links, leaseholder.address, "x"), async {
-        leaseholder.wait_taken(1).await;
+        leaseholder.wait_received(1).await;
         leaseholder.stop().await;
     });
     assert!(reply.is_ok(), "{reply:?}");
     links.shut_down().await;
 }
 
-async fn garbage_case() {
-    let leaseholder = Leaseholder::start().await;
+async fn malformed_bytes_case() {
+    let leaseholder = TestLeaseholder::start().await;
     let links = links(LONG);
     assert!(call(&links, leaseholder.address, "x").await.is_ok());
     for bytes in [
@@ -388,7 +399,7 @@
         let mut stream = TcpStream::connect(leaseholder.address).await.unwrap();
         stream.write_all(bytes).await.unwrap();
         let mut rest = Vec::new();
-        // It is closed, or reset if some of the bytes weren't read.
+        // The server closes the connection, or resets it if it left bytes unread.
         let _ = stream.read_to_end(&mut rest).await;
         assert!(rest.is_empty());
     }
@@ -406,11 +417,11 @@
 }
 
 async fn gateway_case() {
-    let leaseholder = Leaseholder::start().await;
+    let leaseholder = TestLeaseholder::start().await;
     let links = plain_links(PeerLinks::new(LONG));
     let record = create_record("vm-1", 1);
     let statements = [Some(leaseholder.address), None, None];
-    let view = create_view_with([NOWHERE; 3], statements, &record, true);
+    let view = create_view_with([UNREACHABLE_ADDRESS; 3], statements, &record, true);
     let (_view, views) = watch::channel(view);
     let gateway = Gateway::new(NodeClock::start(), links.clone(), views, LONG);
     let reply = gateway.execute(request("xyz")).await;
@@ -419,23 +430,27 @@
     leaseholder.stop().await;
 }
 
-/// A gateway that reaches one other gateway and nobody else, and whose lease has ended.
-struct CutOffGateway {
+/// A gateway whose lease has ended and which reaches no other VM but one more gateway.
+struct IsolatedGateway {
     gateway: Gateway,
-    other: Leaseholder,
+    other: TestLeaseholder,
     links: GatewayLinks,
     _view: watch::Sender<MemberView>,
 }
 
-impl CutOffGateway {
+impl IsolatedGateway {
     async fn start() -> Self {
-        let other = Leaseholder::start().await;
+        let other = TestLeaseholder::start().await;
         let links = plain_links(PeerLinks::new(LONG));
         let record = create_record("vm-1", 1);
-        let statements = [Some(NOWHERE), Some(NOWHERE), Some(other.address)];
-        let view = create_view_with([NOWHERE; 3], statements, &record, false);
+        let statements = [
+            Some(UNREACHABLE_ADDRESS),
+            Some(UNREACHABLE_ADDRESS),
+            Some(other.address),
+        ];
+        let view = create_view_with([UNREACHABLE_ADDRESS; 3], statements, &record, false);
         let (sender, views) = watch::channel(view);
-        // No takeover could end before a statement's deadline.
+        // With a lease of an hour no takeover can end before a statement's deadline.
         let gateway = Gateway::new(NodeClock::start(), links.clone(), views, HOUR);
         Self {
             gateway,
@@ -445,8 +460,8 @@
         }
     }
 
-    /// Returns how a statement is refused.
-    async fn refuse(&self, text: &str) -> Refusal {
+    /// Executes a statement that must be refused, and returns the refusal.
+    async fn expect_refusal(&self, text: &str) -> Refusal {
         let reply = self.gateway.execute(request(text)).await;
         match reply.verdict {
             RequestVerdict::NotRun(refusal) => refusal,
@@ -460,29 +475,29 @@
     }
 }
 
-async fn unled_case() {
-    let cut_off = CutOffGateway::start().await;
-    let refusal = cut_off.refuse(UNLED).await;
+async fn no_leaseholder_case() {
+    let isolated = IsolatedGateway::start().await;
+    let refusal = isolated.expect_refusal(NO_LEASEHOLDER).await;
     assert_eq!(refusal.cause, RefusalCause::NoLeaseholder);
-    assert!(!cut_off.gateway.is_isolated());
-    cut_off.stop().await;
+    assert!(!isolated.gateway.is_isolated());
+    isolated.stop().await;
 }
 
-async fn detour_case() {
-    let cut_off = CutOffGateway::start().await;
-    let gateway = &cut_off.gateway;
-    let reply = gateway.execute(request(DETOUR)).await;
-    let done = StatementAnswer::Done(DETOUR.len() as u64);
+async fn isolated_gateway_case() {
+    let isolated = IsolatedGateway::start().await;
+    let gateway = &isolated.gateway;
+    let reply = gateway.execute(request(FORWARDED)).await;
+    let done = StatementAnswer::Done(FORWARDED.len() as u64);
     assert_eq!(reply.verdict, RequestVerdict::Ran(done));
-    let refusal = cut_off.refuse("x").await;
+    let refusal = isolated.expect_refusal("x").await;
     assert_eq!(refusal.cause, RefusalCause::NoLease);
     assert!(refusal.come_back_after_ms > 0);
     assert!(gateway.is_isolated());
-    let taken = cut_off.other.runner.taken.load(Ordering::SeqCst);
-    // It isn't asked again and again, but is asked again.
+    let received = isolated.other.runner.received.load(Ordering::SeqCst);
+    // The other gateway is tried again after a pause, not with every statement.
     while gateway.is_isolated() {
-        gateway.execute(request(DETOUR)).await;
+        gateway.execute(request(FORWARDED)).await;
     }
-    assert!(cut_off.other.runner.taken.load(Ordering::SeqCst) <= taken + 2);
-    cut_off.stop().await;
+    assert!(isolated.other.runner.received.load(Ordering::SeqCst) <= received + 2);
+    isolated.stop().await;
 }
--- a/crates/daemon/tests/pieces/takeover.rs
+++ b/crates/daemon/tests/pieces/takeover.rs
@@ -1,8 +1,8 @@
-//! A leaseholder that takes over from one that was killed, with what the standbys hold.
+//! Leaseholders that end: takeover with the standbys' journals, and the statements still queued.
 
-use crate::bench::Ask;
 use crate::bench::GRANT;
 use crate::bench::GroupBench;
+use crate::bench::RequestBuilder;
 use crate::bench::STATUS;
 use crate::bench::one_value;
 use ragwort_lab::faults::FaultRequest;
@@ -20,35 +20,35 @@
 use tokio::time::sleep;
 
 failure_cases! {
-    /// The leaseholder is killed while a grant runs, and the clerk's program sends the grant again.
-    /// The successor can't know whether it ran; it must not run it a second time to find out.
+    /// The leaseholder is killed while a keyed write runs, and the caller resends it. The successor
+    /// can't know whether the write ran, and must not run it again to find out.
     resend_after_a_takeover_does_not_run => running_case();
-    /// The leaseholder is killed after it has acknowledged a grant, and the acknowledgement is lost
-    /// on its way. The resend gets the verdict that was acknowledged.
+    /// The leaseholder is killed after it has acknowledged a keyed write, and the acknowledgement is
+    /// lost on its way. The resend gets the acknowledged verdict from the successor.
     decided_write_keeps_its_verdict_over_a_takeover => decided_case();
-    /// A clerk has changed a case and reads it through the successor, while one replica has stopped
-    /// to follow. She must see her change, whichever instance answers.
+    /// A session writes, and reads the key through the successor while one replica gets no replication.
+    /// It must see its write, whichever instance answers.
     session_reads_its_write_after_a_takeover => session_case();
-    /// A leaseholder hands its group over, and statements reach its task while that ends: gateways learn
-    /// of the change a heartbeat later. They wait in the task's queue, which ends with it. Each must be
-    /// answered; without an answer its gateway calls it in doubt though it wasn't run, as in this log 5 ms
+    /// A leaseholder hands its group over, and statements still arrive in its task's queue while the task
+    /// ends, because gateways learn of the change a heartbeat later. Each must be answered. A statement
+    /// that is dropped with the queue was not run, but its gateway reports doubt, as in this log line 5 ms
     /// after `group_left`: `request_failed outcome=in_doubt cause="leaseholder lost" took_ms=3 epoch=1`.
     statement_meeting_an_ending_leaseholder_is_answered => ending_case();
-    /// A VM is restarted while statements wait for its leaseholders' manager, which passes them on. The
-    /// manager ends; each statement must be answered, as it wasn't run.
+    /// A VM shuts down while statements wait in the queue of its leaseholder manager. The manager ends,
+    /// and each statement must be answered as not run.
     statement_that_meets_an_ending_manager_is_answered => ending_manager_case();
 }
 
 async fn running_case() {
     let mut bench = GroupBench::start().await;
     bench.set_fault(0, FaultRequest::Slow(300)).await;
-    let grant = Ask::new(GRANT, "append case-7 grant").key(RequestKey::fresh());
+    let grant = RequestBuilder::new(GRANT, "append case-7 grant").key(RequestKey::fresh());
     let first = bench.send(grant.clone()).await;
     bench.wait_running(1).await;
     bench.replace_leaseholder().await;
     let ended = first.await;
     assert!(ended.is_err(), "{ended:?}");
-    let reply = bench.ask(grant).await;
+    let reply = bench.execute(grant).await;
     let doubt = RequestVerdict::MayHaveRun(DoubtCause::EarlierAttempt);
     assert_eq!(reply.verdict, doubt);
     bench.wait_running(0).await;
@@ -58,11 +58,11 @@
 
 async fn decided_case() {
     let mut bench = GroupBench::start().await;
-    let grant = Ask::new(GRANT, "append case-7 grant").key(RequestKey::fresh());
+    let grant = RequestBuilder::new(GRANT, "append case-7 grant").key(RequestKey::fresh());
     let written = RequestVerdict::Ran(StatementAnswer::Done(1));
-    assert_eq!(bench.ask(grant.clone()).await.verdict, written);
+    assert_eq!(bench.execute(grant.clone()).await.verdict, written);
     bench.replace_leaseholder().await;
-    assert_eq!(bench.ask(grant).await.verdict, written);
+    assert_eq!(bench.execute(grant).await.verdict, written);
     assert_eq!(bench.count_commits().await, 1);
     bench.stop().await;
 }
@@ -70,15 +70,17 @@
 async fn session_case() {
     let mut bench = GroupBench::start().await;
     bench.set_fault(2, FaultRequest::CutReplication(true)).await;
-    let put = Ask::new(GRANT, "put case-7 granted");
+    let put = RequestBuilder::new(GRANT, "put case-7 granted");
     let written = RequestVerdict::Ran(StatementAnswer::Done(1));
-    assert_eq!(bench.ask(put).await.verdict, written);
+    assert_eq!(bench.execute(put).await.verdict, written);
     bench.replace_leaseholder().await;
     let granted = RequestVerdict::Ran(one_value("value", "granted"));
     let mut by_replica = 0;
-    // Until replicas serve again, and some reads more.
+    // Replicas serve again some time after the takeover; ten of their answers are checked.
     while by_replica < 10 {
-        let reply = bench.ask(Ask::new(STATUS, "get case-7")).await;
+        let reply = bench
+            .execute(RequestBuilder::new(STATUS, "get case-7"))
+            .await;
         assert_eq!(reply.verdict, granted, "{reply:?}");
         by_replica += u32::from(reply.served_by.is_some_and(|served| served.replica));
         sleep(Duration::from_millis(5)).await;
@@ -91,15 +93,18 @@
     bench.place_elsewhere();
     let mut replies = Vec::new();
     for _ in 0..64 {
-        let request = Ask::new(GRANT, "append case-7 grant").into_request();
+        let request = RequestBuilder::new(GRANT, "append case-7 grant").into_request();
         replies.extend(bench.try_send(request));
     }
     let mut doubts = 0;
     for reply in replies {
-        let verdict = reply.await.expect("the statement is answered").verdict;
+        let verdict = reply
+            .await
+            .expect("a statement was dropped unanswered")
+            .verdict;
         match verdict {
             RequestVerdict::NotRun(_) => {}
-            // It was taken in and dispatched before the change was seen.
+            // The statement was dispatched before the leaseholder saw the change.
             RequestVerdict::MayHaveRun(DoubtCause::LeaseLost) => doubts += 1,
             verdict => panic!("{verdict:?}"),
         }
@@ -116,17 +121,20 @@
     let (inbox, events) = mpsc::channel(64);
     let mut replies = Vec::new();
     for _ in 0..64 {
-        let request = Box::new(Ask::new(GRANT, "append case-7 grant").into_request());
+        let request = Box::new(RequestBuilder::new(GRANT, "append case-7 grant").into_request());
         let (reply, answer) = oneshot::channel();
         let event = LeaseholderEvent::Statement(request, reply);
-        inbox.try_send(event).expect("there is room");
+        inbox.try_send(event).expect("the queue is full");
         replies.push(answer);
     }
     let (stop, stopping) = watch::channel(false);
     stop.send_replace(true);
     manager.run(events, stopping).await;
     for reply in replies {
-        let verdict = reply.await.expect("the statement is answered").verdict;
+        let verdict = reply
+            .await
+            .expect("a statement was dropped unanswered")
+            .verdict;
         assert!(matches!(verdict, RequestVerdict::NotRun(_)), "{verdict:?}");
     }
     bench.stop().await;
--- a/crates/daemon/tests/platform.rs
+++ b/crates/daemon/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's paths, metrics and log lines.
+//! The platform listener's paths, the metrics and the escaping of values in log lines.
 
 use log::Level;
 use ragwort_types::GroupName;
@@ -19,6 +19,7 @@
 use tokio::sync::mpsc;
 use tokio::sync::watch;
 
+/// Sends a GET request and returns the whole reply, status line included.
 async fn get(address: SocketAddr, path: &str) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
     let request = format!("GET {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
@@ -89,7 +90,7 @@
     assert!(metrics.to_text().contains("ragwort_caller_connections 0"));
 }
 
-/// Names a value and how it stands in a line.
+/// Declares a test for each value and its form in a log line.
 macro_rules! line_value {
     ($($name:ident: $value:expr => $written:expr;)*) => {$(
         #[test]
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: what is taken, and how faults are reported.
+//! Parsing of the settings file: accepted values, defaults and the faults that are reported.
 
 use ragwortgated::settings::DaemonSettings;
 use ragwortgated::settings::LimitSettings;
@@ -7,7 +7,8 @@
 use ragwortgated::settings::TimingSettings;
 use std::path::Path;
 
-const LEAST: &str = "\
+/// The smallest valid settings file. It has six lines.
+const MINIMAL_SETTINGS: &str = "\
 vm: vm-1
 domain: windhoek-a
 roles: { gateway: true }
@@ -16,16 +17,18 @@
   - { vm: vm-2, address: 127.0.0.2:7432 }
 ";
 
-fn faults_of(text: &str) -> Vec<SettingFault> {
-    DaemonSettings::from_yaml(text).expect_err("the settings are wrong")
+/// Parses settings that must be invalid, and returns their faults.
+fn parse_faults(text: &str) -> Vec<SettingFault> {
+    DaemonSettings::from_yaml(text).expect_err("the settings are invalid")
 }
 
-/// Names a wrong file: lines after the least settings, and what each fault says and where.
+/// Declares a test for each invalid file: the lines that are added to the minimal settings, and the line,
+/// column and text of each fault.
 macro_rules! refused {
     ($($name:ident: $added:expr => $(($line:expr, $column:expr, $words:expr)),+;)*) => {$(
         #[test]
         fn $name() {
-            let faults = faults_of(&format!("{LEAST}{}", $added));
+            let faults = parse_faults(&format!("{MINIMAL_SETTINGS}{}", $added));
             let found: Vec<String> = faults.iter().map(ToString::to_string).collect();
             let expected = [$(($line, $column, $words)),+];
             assert_eq!(faults.len(), expected.len(), "{found:#?}");
@@ -65,14 +68,15 @@
         (9, 1, "speed: unknown setting");
 }
 
-/// Names a wrong file by a replacement in the least settings and the words of its one fault.
+/// Declares a test for each invalid file: a replacement in the minimal settings, and the text of the one
+/// fault.
 macro_rules! refused_when {
     ($($name:ident: $old:expr, $new:expr => $words:expr;)*) => {$(
         #[test]
         fn $name() {
-            let text = LEAST.replace($old, $new);
-            assert_ne!(text, LEAST);
-            let faults = faults_of(&text);
+            let text = MINIMAL_SETTINGS.replace($old, $new);
+            assert_ne!(text, MINIMAL_SETTINGS);
+            let faults = parse_faults(&text);
             assert_eq!(faults.len(), 1, "{faults:#?}");
             assert!(faults[0].message.contains($words), "{}", faults[0]);
         }
@@ -98,8 +102,8 @@
 
 #[test]
 fn control_vm_needs_folder_and_own_address() {
-    let text = LEAST.replace("{ gateway: true }", "{ gateway: true, control: true }");
-    let words: Vec<String> = faults_of(&text).into_iter().map(|f| f.message).collect();
+    let text = MINIMAL_SETTINGS.replace("{ gateway: true }", "{ gateway: true, control: true }");
+    let words: Vec<String> = parse_faults(&text).into_iter().map(|f| f.message).collect();
     assert_eq!(
         words,
         [
@@ -111,21 +115,21 @@
 
 #[test]
 fn control_vm_must_listen_where_others_look_for_it() {
-    let text = LEAST
+    let text = MINIMAL_SETTINGS
         .replace("{ gateway: true }", "{ control: true }")
         .replace(
             "vm-2, address: 127.0.0.2:7432",
             "vm-1, address: 127.0.0.1:7433",
         )
         + "data_folder: /tmp/ragwort";
-    let faults = faults_of(&text);
+    let faults = parse_faults(&text);
     assert_eq!(faults.len(), 1, "{faults:#?}");
     assert!(faults[0].message.contains("found 127.0.0.1:7433"));
 }
 
 #[test]
 fn text_that_is_no_yaml_has_a_place() {
-    let faults = faults_of("vm: [1\ndomain: }");
+    let faults = parse_faults("vm: [1\ndomain: }");
     assert_eq!(faults.len(), 1);
     assert!(faults[0].line > 0, "{}", faults[0]);
 }
@@ -139,7 +143,7 @@
 
 #[test]
 fn defaults_apply() {
-    let settings = DaemonSettings::from_yaml(LEAST).unwrap();
+    let settings = DaemonSettings::from_yaml(MINIMAL_SETTINGS).unwrap();
     assert_eq!(settings.timing, TimingSettings::default());
     assert_eq!(settings.limits, LimitSettings::default());
     assert_eq!(settings.log, LogSettings::default());
--- a/crates/daemon/tests/shortage/main.rs
+++ b/crates/daemon/tests/shortage/main.rs
@@ -1,4 +1,5 @@
-//! A VM that has no descriptor left. In a process of its own, whose limit the test lowers.
+//! A VM that runs out of file descriptors. The test lowers the limit of its whole process, and so is the
+//! only one in its test binary.
 
 #[macro_use]
 #[path = "../native/cases.rs"]
@@ -28,18 +29,20 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How long the VM lacks descriptors: several times as long as a silent primary is taken for alive.
+/// The duration of the descriptor shortage: several times the silence after which a primary is
+/// suspected.
 const SHORTAGE: Duration = Duration::from_secs(1);
 
 failure_cases! {
-    /// Failed connections for want of descriptors counted against the primary, which was replaced alive.
+    /// Connection attempts that fail for want of descriptors are no sign of a dead primary. When they were
+    /// counted as one, a live primary was replaced.
     vm_without_descriptors_replaces_no_primary => shortage_case();
 }
 
-/// Lets the process open no further descriptor; returns the limit that was in force.
+/// Lowers the process's descriptor limit so that no further one can be opened; returns the former limit.
 fn exhaust_descriptors() -> Rlimit {
     let before = getrlimit(Resource::Nofile);
-    // The lowest free number is the first that is refused.
+    // Descriptors take the lowest free number, and numbers from the limit upwards are refused.
     let lowest = File::open("/dev/null").unwrap().as_raw_fd();
     let limit = Rlimit {
         current: Some(u64::try_from(lowest).unwrap()),
@@ -53,7 +56,7 @@
     let mut bench = NativeBench::start([5, 5, 5]).await;
     bench.settle().await;
     let before = exhaust_descriptors();
-    // Each holds a connection, so that others have to be opened.
+    // Each transaction occupies a connection, so that new ones have to be opened.
     let begin = |_| {
         let step = TransactionStep::Begin(TransactionId::fresh());
         Ask::new(WRITE, "write record").step(step)
@@ -63,7 +66,7 @@
     }
     sleep(SHORTAGE).await;
     setrlimit(Resource::Nofile, before).unwrap();
-    assert!(count_shortages() > 0, "nothing was short");
+    assert!(count_shortages() > 0, "no shortage was counted");
     assert!(bench.promotions.orders.lock().unwrap().is_empty());
     let after = bench.ask(Ask::new(WRITE, "write after")).await;
     assert!(is_served(&after), "{after:?}");
