--- a/crates/control/src/accounts.rs
+++ b/crates/control/src/accounts.rs
@@ -15,7 +15,7 @@
 use ragwort_types::CatalogRevision;
 use ragwort_types::ClientAccount;
 use ragwort_types::ContractDocument;
-use ragwort_types::DigestSeal;
+use ragwort_types::DigestSecret;
 use ragwort_types::KeyDigest;
 use sha2::Sha256;
 use std::collections::BTreeMap;
@@ -26,13 +26,13 @@
 /// whole catalog.
 const MAX_REMOVED_ACCOUNTS: usize = 1_024;
 
-/// Returns a key's digest (a truncated HMAC-SHA-256) under a seal.
+/// Returns a key's digest (a truncated HMAC-SHA-256) under a secret.
 ///
 /// # Panics
 ///
-/// Never panics: a seal of any length is accepted.
-pub fn digest_key(seal: DigestSeal, key: &AccountKey) -> KeyDigest {
-    let mac = Hmac::<Sha256>::new_from_slice(&seal.0);
+/// Never panics: a secret of any length is accepted.
+pub fn digest_key(secret: DigestSecret, key: &AccountKey) -> KeyDigest {
+    let mac = Hmac::<Sha256>::new_from_slice(&secret.0);
     let mut mac = mac.expect("a seal of any length is taken");
     mac.update(key.as_secret().as_bytes());
     let whole = mac.finalize().into_bytes();
@@ -104,7 +104,7 @@
     }
 }
 
-fn to_terms(seal: DigestSeal, account: &ClientAccount) -> AccountTerms {
+fn to_terms(seal: DigestSecret, account: &ClientAccount) -> AccountTerms {
     let keys = account.keys.iter();
     AccountTerms {
         name: account.name.clone(),
@@ -122,7 +122,7 @@
 }
 
 impl AccountTable {
-    /// Digests a key under the accounts' seal; `None` if there are no accounts.
+    /// Digests a key under the accounts' secret; `None` if there are no accounts.
     pub fn digest(&self, key: &AccountKey) -> Option<KeyDigest> {
         let (_, any) = self.accounts.first_key_value()?;
         Some(digest_key(any.seal, key))
--- a/crates/control/src/catalog.rs
+++ b/crates/control/src/catalog.rs
@@ -14,7 +14,7 @@
 use ragwort_types::CatalogOutcome;
 use ragwort_types::CatalogRevision;
 use ragwort_types::CustomerName;
-use ragwort_types::DigestSeal;
+use ragwort_types::DigestSecret;
 use ragwort_types::DocumentCopy;
 use ragwort_types::GroupName;
 use ragwort_types::GroupRecord;
@@ -57,7 +57,7 @@
     /// Accounts that a document removed, with the revision of their removal.
     pub(crate) gone_accounts: BTreeMap<AccountName, CatalogRevision>,
     /// The secret under which keys are digested; set by the first document with accounts.
-    pub(crate) seal: Option<DigestSeal>,
+    pub(crate) seal: Option<DigestSecret>,
     pub(crate) members: BTreeMap<VmName, StampedItem<MemberRecord>>,
     pub(crate) departures: BTreeMap<VmName, StampedItem<VmIncarnation>>,
     pub(crate) groups: BTreeMap<GroupName, StampedItem<GroupRecord>>,
@@ -84,7 +84,7 @@
     #[serde(default)]
     gone_accounts: BTreeMap<AccountName, CatalogRevision>,
     #[serde(default)]
-    seal: Option<DigestSeal>,
+    seal: Option<DigestSecret>,
     members: BTreeMap<VmName, StampedItem<MemberRecord>>,
     departures: BTreeMap<VmName, StampedItem<VmIncarnation>>,
     groups: BTreeMap<GroupName, StampedItem<GroupRecord>>,
--- a/crates/control/src/groups.rs
+++ b/crates/control/src/groups.rs
@@ -4,15 +4,15 @@
 use crate::catalog::StampedItem;
 use ragwort_types::CatalogOutcome;
 use ragwort_types::CatalogRevision;
-use ragwort_types::EndpointNotes;
 use ragwort_types::GroupPlacement;
 use ragwort_types::GroupRecord;
 use ragwort_types::GroupTerm;
 use ragwort_types::InstanceChange;
-use ragwort_types::JournalMark;
+use ragwort_types::JournalConfirmation;
 use ragwort_types::LogPosition;
 use ragwort_types::PlacementEpoch;
 use ragwort_types::PrimaryRecord;
+use ragwort_types::RecordedEndpoints;
 use ragwort_types::TermStart;
 use ragwort_types::TokenRequest;
 use smallvec::SmallVec;
@@ -76,7 +76,7 @@
     pub(crate) fn confirm_journal(
         &mut self,
         revision: CatalogRevision,
-        mark: &JournalMark,
+        mark: &JournalConfirmation,
     ) -> CatalogOutcome {
         let Some(former) = self.groups.get(&mark.group) else {
             return CatalogOutcome::Stale;
@@ -116,7 +116,7 @@
     pub(crate) fn record_endpoints(
         &mut self,
         revision: CatalogRevision,
-        notes: &EndpointNotes,
+        notes: &RecordedEndpoints,
     ) -> CatalogOutcome {
         let Some(former) = self.groups.get(&notes.group) else {
             return CatalogOutcome::Stale;
--- a/crates/control/src/lease.rs
+++ b/crates/control/src/lease.rs
@@ -14,8 +14,8 @@
 use ragwort_types::CatalogCommand;
 use ragwort_types::CatalogRevision;
 use ragwort_types::ContractAcceptance;
-use ragwort_types::ForceStatus;
 use ragwort_types::HeartbeatRequest;
+use ragwort_types::InForceStatus;
 use ragwort_types::LeaseGrant;
 use ragwort_types::MemberRecord;
 use ragwort_types::VmIncarnation;
@@ -236,19 +236,19 @@
     ///
     /// A silent member that hasn't confirmed it stops when its lease ends, and isn't waited for
     /// longer than that.
-    pub fn force_status(
+    pub fn in_force_status(
         &self,
         acceptance: ContractAcceptance,
         now: ClockTime,
         catalog: &CatalogState,
-    ) -> ForceStatus {
+    ) -> InForceStatus {
         let waiting = catalog.members().filter(|member| {
             let may_run = !self.has_ended(now, member);
             may_run && !self.has_confirmed(member, acceptance.revision)
         });
         let waiting_for = u32::try_from(waiting.count()).unwrap_or(u32::MAX);
         let committed = catalog.revision() >= acceptance.revision;
-        ForceStatus {
+        InForceStatus {
             acceptance,
             in_force: committed && waiting_for == 0,
             waiting_for,
@@ -319,7 +319,7 @@
     /// Returns whether no earlier process of the VM must be removed before this one gets a lease.
     fn has_no_predecessor(&self, member: &MemberRecord, catalog: &CatalogState) -> bool {
         match catalog.member(&member.id.vm) {
-            Some(known) => known.id == member.id || member.succeeds_at_once(known),
+            Some(known) => known.id == member.id || member.can_replace_immediately(known),
             None => true,
         }
     }
--- a/crates/control/src/members.rs
+++ b/crates/control/src/members.rs
@@ -26,7 +26,7 @@
         let vm = &member.id.vm;
         let former = self.members.get(vm);
         let departed = self.departures.get(vm);
-        let succeeds = former.is_some_and(|former| member.succeeds_at_once(&former.item));
+        let succeeds = former.is_some_and(|former| member.can_replace_immediately(&former.item));
         match (former, departed) {
             _ if succeeds => {}
             (Some(former), _) if former.item == *member => {
--- a/crates/control/tests/state/catalog.rs
+++ b/crates/control/tests/state/catalog.rs
@@ -9,10 +9,10 @@
 use ragwort_types::CatalogOutcome;
 use ragwort_types::CatalogRevision;
 use ragwort_types::ContractChange;
-use ragwort_types::EndpointNotes;
 use ragwort_types::GroupName;
 use ragwort_types::GroupTerm;
 use ragwort_types::PlacementEpoch;
+use ragwort_types::RecordedEndpoints;
 use ragwort_types::VmName;
 use std::collections::BTreeMap;
 
@@ -169,7 +169,7 @@
 }
 
 fn endpoint_notes(epoch: u64, term: u64, primary: &str) -> CatalogCommand {
-    CatalogCommand::RecordEndpoints(Box::new(EndpointNotes {
+    CatalogCommand::RecordEndpoints(Box::new(RecordedEndpoints {
         group: "cases".into(),
         epoch: PlacementEpoch(epoch),
         term: GroupTerm(term),
--- a/crates/control/tests/state/membership.rs
+++ b/crates/control/tests/state/membership.rs
@@ -256,12 +256,12 @@
         };
         ledger.receive(at(2_700), &heartbeat(1, 1, 4), &script.state);
         ledger.receive(at(2_700), &heartbeat(2, 1, 3), &script.state);
-        let early = ledger.force_status(acceptance, at(4_619), &script.state);
+        let early = ledger.in_force_status(acceptance, at(4_619), &script.state);
         assert_eq!((early.in_force, early.waiting_for), (false, 2));
         let behind = ledger.receive(at(4_701), &heartbeat(2, 1, 3), &script.state);
         assert_eq!(behind, LeaseDecision::Grant(Duration::ZERO));
         ledger.receive(at(4_701), &heartbeat(1, 1, 4), &script.state);
-        let late = ledger.force_status(acceptance, at(4_720), &script.state);
+        let late = ledger.in_force_status(acceptance, at(4_720), &script.state);
         assert!(late.in_force, "{late:?}");
     }
 }
--- a/crates/control/tests/state/proximity.rs
+++ b/crates/control/tests/state/proximity.rs
@@ -10,9 +10,9 @@
 use ragwort_control::plan_placements;
 use ragwort_types::CatalogCommand;
 use ragwort_types::EndpointAnnouncement;
-use ragwort_types::EndpointNotes;
 use ragwort_types::GroupTerm;
 use ragwort_types::PlacementEpoch;
+use ragwort_types::RecordedEndpoints;
 use ragwort_types::VmName;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -38,13 +38,15 @@
         leaseholder,
         &[],
     )));
-    script.expect_done(CatalogCommand::RecordEndpoints(Box::new(EndpointNotes {
-        group: "cases".into(),
-        epoch: PlacementEpoch(1),
-        term: GroupTerm(1),
-        primary: Some("a".into()),
-        endpoints: vec![endpoint("a", "domain-2"), endpoint("b", "domain-3")],
-    })));
+    script.expect_done(CatalogCommand::RecordEndpoints(Box::new(
+        RecordedEndpoints {
+            group: "cases".into(),
+            epoch: PlacementEpoch(1),
+            term: GroupTerm(1),
+            primary: Some("a".into()),
+            endpoints: vec![endpoint("a", "domain-2"), endpoint("b", "domain-3")],
+        },
+    )));
     script
 }
 
@@ -106,13 +108,15 @@
             let domain = format!("domain-{}", rng.random_range(1..=4));
             endpoint(&format!("{instance}"), &domain)
         });
-        script.expect_done(CatalogCommand::RecordEndpoints(Box::new(EndpointNotes {
-            group: group.as_str().into(),
-            epoch: PlacementEpoch(1),
-            term: GroupTerm(1),
-            primary: Some("0".into()),
-            endpoints: endpoints.collect(),
-        })));
+        script.expect_done(CatalogCommand::RecordEndpoints(Box::new(
+            RecordedEndpoints {
+                group: group.as_str().into(),
+                epoch: PlacementEpoch(1),
+                term: GroupTerm(1),
+                primary: Some("0".into()),
+                endpoints: endpoints.collect(),
+            },
+        )));
     }
     script
 }
--- a/crates/control/tests/state/transfer.rs
+++ b/crates/control/tests/state/transfer.rs
@@ -15,12 +15,12 @@
 use ragwort_types::ClientAccount;
 use ragwort_types::ContractDocument;
 use ragwort_types::DocumentVersion;
-use ragwort_types::EndpointNotes;
 use ragwort_types::GroupName;
 use ragwort_types::GroupTerm;
 use ragwort_types::GroupTerms;
 use ragwort_types::MemberTraits;
 use ragwort_types::PlacementEpoch;
+use ragwort_types::RecordedEndpoints;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -74,7 +74,7 @@
         let name = group(number);
         let place = placement(name.as_str(), 1, "vm-1", &["vm-2", "vm-3"]);
         script.expect_done(CatalogCommand::PlaceGroup(place));
-        let notes = EndpointNotes {
+        let notes = RecordedEndpoints {
             group: name.clone(),
             epoch: PlacementEpoch(1),
             term: GroupTerm(0),
--- a/crates/ctl/src/apply.rs
+++ b/crates/ctl/src/apply.rs
@@ -21,7 +21,7 @@
 use ragwort_types::ContractVersion;
 use ragwort_types::CustomerContract;
 use ragwort_types::CustomerName;
-use ragwort_types::ForceStatus;
+use ragwort_types::InForceStatus;
 use serde_json::json;
 use std::fs;
 use std::io;
@@ -248,7 +248,7 @@
     addresses: &AddressList,
     acceptance: ContractAcceptance,
     wait_limit: Duration,
-) -> Option<ForceStatus> {
+) -> Option<InForceStatus> {
     let end = Instant::now() + wait_limit;
     loop {
         let status = fetch_force_status(addresses, acceptance).await;
@@ -263,12 +263,12 @@
 async fn fetch_force_status(
     addresses: &AddressList,
     acceptance: ContractAcceptance,
-) -> Option<ForceStatus> {
+) -> Option<InForceStatus> {
     for address in &addresses.0 {
         let Ok(client) = open_client(*address).await else {
             continue;
         };
-        if let Ok(status) = client.force_status(acceptance).await {
+        if let Ok(status) = client.in_force_status(acceptance).await {
             return Some(status);
         }
     }
--- a/crates/ctl/src/document.rs
+++ b/crates/ctl/src/document.rs
@@ -11,7 +11,7 @@
 use ragwort_types::ClientAccount;
 use ragwort_types::ContractDocument;
 use ragwort_types::CustomerContract;
-use ragwort_types::DocumentReading;
+use ragwort_types::DocumentReadReply;
 use ragwort_types::DocumentReply;
 use ragwort_types::DocumentVersion;
 use ragwort_types::GroupTerms;
@@ -104,14 +104,14 @@
             continue;
         };
         match client.read_document().await {
-            Ok(DocumentReading::Newest(document)) => {
+            Ok(DocumentReadReply::Newest(document)) => {
                 let value = to_value(&document);
                 return CommandOutcome::done(document.source.to_string(), value);
             }
-            Ok(DocumentReading::Empty) => {
+            Ok(DocumentReadReply::Empty) => {
                 return CommandOutcome::refused("no document was ever accepted");
             }
-            Ok(DocumentReading::Unsure) | Err(_) => {}
+            Ok(DocumentReadReply::Unsure) | Err(_) => {}
         }
     }
     CommandOutcome::refused("no control leader could confirm which document is the newest")
--- a/crates/ctl/tests/commands.rs
+++ b/crates/ctl/tests/commands.rs
@@ -18,11 +18,11 @@
 use ragwort_types::CustomerName;
 use ragwort_types::DocumentAcceptance;
 use ragwort_types::DocumentCopy;
-use ragwort_types::DocumentReading;
+use ragwort_types::DocumentReadReply;
 use ragwort_types::DocumentReply;
 use ragwort_types::DocumentVersion;
-use ragwort_types::ForceStatus;
 use ragwort_types::FormReply;
+use ragwort_types::InForceStatus;
 use ragwort_types::NodeStatus;
 use ragwort_types::VersionedContract;
 use ragwort_types::VmName;
@@ -80,7 +80,7 @@
     changes: Vec<ContractChange>,
     documents: Vec<ContractDocument>,
     document_replies: VecDeque<DocumentReply>,
-    reading: Option<DocumentReading>,
+    reading: Option<DocumentReadReply>,
     present: Option<VersionedContract>,
     force_status_calls: u32,
     calls_before_in_force: u32,
@@ -129,16 +129,16 @@
         }
     }
 
-    async fn read_document(&self) -> RpcResult<DocumentReading> {
+    async fn read_document(&self) -> RpcResult<DocumentReadReply> {
         let script = self.0.lock().unwrap();
-        Ok(script.reading.clone().unwrap_or(DocumentReading::Unsure))
+        Ok(script.reading.clone().unwrap_or(DocumentReadReply::Unsure))
     }
 
-    async fn force_status(&self, acceptance: ContractAcceptance) -> RpcResult<ForceStatus> {
+    async fn in_force_status(&self, acceptance: ContractAcceptance) -> RpcResult<InForceStatus> {
         let mut script = self.0.lock().unwrap();
         script.force_status_calls += 1;
         let in_force = script.force_status_calls > script.calls_before_in_force;
-        Ok(ForceStatus {
+        Ok(InForceStatus {
             acceptance,
             in_force,
             waiting_for: if in_force { 0 } else { 3 },
@@ -607,7 +607,7 @@
         version: DocumentVersion(7),
         source: text.as_str().into(),
     };
-    daemon.set(|script| script.reading = Some(DocumentReading::Newest(copy)));
+    daemon.set(|script| script.reading = Some(DocumentReadReply::Newest(copy)));
     let shown = run(&address.to_string(), &["document", "get"]).await;
     assert_eq!(shown.code, 0);
     assert_eq!(shown.out.trim_end(), text.trim_end());
--- a/crates/daemon/src/callers/marks.rs
+++ b/crates/daemon/src/callers/marks.rs
@@ -7,9 +7,9 @@
 
 use crate::callers::StatementScan;
 use ragwort_types::KindName;
-use ragwort_types::LONGEST_DEADLINE_MS;
+use ragwort_types::MAX_DEADLINE_MS;
 use ragwort_types::RequestKey;
-use ragwort_types::RequestMarks;
+use ragwort_types::RequestOptions;
 use std::fmt;
 use uuid::Uuid;
 
@@ -83,11 +83,11 @@
 /// # Errors
 ///
 /// Returns the first fault in a comment that names a mark.
-pub fn read_marks(scan: &StatementScan<'_>) -> Result<RequestMarks, MarkFault> {
+pub fn read_marks(scan: &StatementScan<'_>) -> Result<RequestOptions, MarkFault> {
     if scan.inner.iter().any(|comment| contains_mark(comment)) {
         return Err(MarkFault::Misplaced);
     }
-    let mut marks = RequestMarks::default();
+    let mut marks = RequestOptions::default();
     for comment in scan.leading.iter().chain(&scan.trailing) {
         if contains_mark(comment) {
             read_comment(comment, &mut marks)?;
@@ -104,7 +104,7 @@
     })
 }
 
-fn read_comment(comment: &str, marks: &mut RequestMarks) -> Result<(), MarkFault> {
+fn read_comment(comment: &str, marks: &mut RequestOptions) -> Result<(), MarkFault> {
     let mut rest = comment.trim();
     loop {
         let (name, after) = split_name(rest)?;
@@ -167,12 +167,12 @@
     u8::try_from(high * 16 + low).ok()
 }
 
-fn set_mark(name: &str, value: &str, marks: &mut RequestMarks) -> Result<(), MarkFault> {
+fn set_mark(name: &str, value: &str, marks: &mut RequestOptions) -> Result<(), MarkFault> {
     match name {
         "kind" => set_once(&mut marks.kind, "kind", read_kind(value)?),
         "key" => set_once(&mut marks.key, "key", read_key(value)?),
         "deadline_ms" => {
-            let deadline = read_number(value, 1..=LONGEST_DEADLINE_MS).ok_or(
+            let deadline = read_number(value, 1..=MAX_DEADLINE_MS).ok_or(
                 MarkFault::InvalidValue("deadline_ms", "a number from 1 to 600000"),
             )?;
             set_once(&mut marks.deadline_ms, "deadline_ms", deadline)
--- a/crates/daemon/src/control/documents.rs
+++ b/crates/daemon/src/control/documents.rs
@@ -5,7 +5,7 @@
 use super::event::UnconfirmedRead;
 use jsonrpsee_ws_client::WsClient;
 use ragwort_rpc::PeerApiClient;
-use ragwort_types::DocumentReading;
+use ragwort_types::DocumentReadReply;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -19,7 +19,7 @@
     pub(super) fn read_document(
         &mut self,
         question: DocumentQuestion,
-        reply: oneshot::Sender<DocumentReading>,
+        reply: oneshot::Sender<DocumentReadReply>,
     ) {
         if let Ok(ticket) = self.node.confirm_read() {
             let read = UnconfirmedRead::Document(reply);
@@ -28,7 +28,7 @@
         }
         let direct = question == DocumentQuestion::Direct;
         let Some(address) = self.leader_address().filter(|_| direct) else {
-            let _ = reply.send(DocumentReading::Unsure);
+            let _ = reply.send(DocumentReadReply::Unsure);
             return;
         };
         let links = self.links.clone();
@@ -36,15 +36,15 @@
         self.children.spawn(async move {
             let call = |client: Arc<WsClient>| async move { client.leader_document().await };
             let reading = links.call(address, limit, call).await;
-            let _ = reply.send(reading.unwrap_or(DocumentReading::Unsure));
+            let _ = reply.send(reading.unwrap_or(DocumentReadReply::Unsure));
         });
     }
 
-    /// Returns the catalog's document as a reading.
-    pub(super) fn document_reading(&self) -> DocumentReading {
+    /// Returns the reply with the catalog's document.
+    pub(super) fn document_read_reply(&self) -> DocumentReadReply {
         match self.catalog.document() {
-            Some(document) => DocumentReading::Newest(document.clone()),
-            None => DocumentReading::Empty,
+            Some(document) => DocumentReadReply::Newest(document.clone()),
+            None => DocumentReadReply::Empty,
         }
     }
 }
--- a/crates/daemon/src/control/event.rs
+++ b/crates/daemon/src/control/event.rs
@@ -9,12 +9,12 @@
 use ragwort_types::ContractAcceptance;
 use ragwort_types::ControlIdentity;
 use ragwort_types::ControlPeer;
-use ragwort_types::DocumentReading;
-use ragwort_types::ForceStatus;
+use ragwort_types::DocumentReadReply;
 use ragwort_types::GroupName;
 use ragwort_types::HeartbeatBatch;
 use ragwort_types::HeartbeatReply;
 use ragwort_types::HeartbeatRequest;
+use ragwort_types::InForceStatus;
 use ragwort_types::LeaseGrant;
 use ragwort_types::MemberId;
 use ragwort_types::PieceRequest;
@@ -37,7 +37,7 @@
     /// Heartbeats that a follower has forwarded.
     Batch(HeartbeatBatch, oneshot::Sender<Vec<HeartbeatReply>>),
     /// Returns how far a contract change is in force; `None` if this VM doesn't lead.
-    Force(ContractAcceptance, oneshot::Sender<Option<ForceStatus>>),
+    Force(ContractAcceptance, oneshot::Sender<Option<InForceStatus>>),
     /// Returns which voter this VM is.
     Identity(oneshot::Sender<ControlIdentity>),
     /// Returns the next piece of the catalog for a member, packed.
@@ -46,7 +46,7 @@
     Learned(Vec<ControlPeer>),
     /// Returns the newest document; a follower asks the leader unless the request was already
     /// forwarded.
-    ReadDocument(DocumentQuestion, oneshot::Sender<DocumentReading>),
+    ReadDocument(DocumentQuestion, oneshot::Sender<DocumentReadReply>),
     /// Forms the first voter set.
     Form(Vec<MemberId>, oneshot::Sender<bool>),
     /// Returns the role's state for an operator's dump.
@@ -99,7 +99,7 @@
 /// A request that waits until the leadership is confirmed.
 pub(super) enum UnconfirmedRead {
     Heartbeats(Vec<UnconfirmedBatch>),
-    Document(oneshot::Sender<DocumentReading>),
+    Document(oneshot::Sender<DocumentReadReply>),
 }
 
 /// The reason why the control role can't start or continue.
--- a/crates/daemon/src/control/heartbeats.rs
+++ b/crates/daemon/src/control/heartbeats.rs
@@ -16,10 +16,10 @@
 use ragwort_types::CatalogRevision;
 use ragwort_types::CatalogScope;
 use ragwort_types::ContractAcceptance;
-use ragwort_types::ForceStatus;
 use ragwort_types::HeartbeatBatch;
 use ragwort_types::HeartbeatReply;
 use ragwort_types::HeartbeatRequest;
+use ragwort_types::InForceStatus;
 use ragwort_types::LeaseGrant;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -234,9 +234,9 @@
     }
 
     /// Returns how far a contract change is in force; `None` if this VM doesn't lead.
-    pub(super) fn force_status(&self, acceptance: ContractAcceptance) -> Option<ForceStatus> {
+    pub(super) fn in_force_status(&self, acceptance: ContractAcceptance) -> Option<InForceStatus> {
         let ledger = self.ledger.as_ref()?;
-        Some(ledger.force_status(acceptance, self.clock.now(), &self.catalog))
+        Some(ledger.in_force_status(acceptance, self.clock.now(), &self.catalog))
     }
 }
 
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -48,7 +48,7 @@
 use ragwort_types::CatalogCommand;
 use ragwort_types::CommandReply;
 use ragwort_types::ControlIdentity;
-use ragwort_types::DocumentReading;
+use ragwort_types::DocumentReadReply;
 use ragwort_types::GroupName;
 use ragwort_types::MemberId;
 use ragwort_types::VmIncarnation;
@@ -244,7 +244,7 @@
                     .push(UnconfirmedBatch::Forwarded(batch, reply));
             }
             ControlEvent::Force(acceptance, reply) => {
-                let _ = reply.send(self.force_status(acceptance));
+                let _ = reply.send(self.in_force_status(acceptance));
             }
             ControlEvent::Identity(reply) => {
                 let _ = reply.send(self.control_identity());
@@ -326,7 +326,7 @@
                     }
                 }
                 Some(UnconfirmedRead::Document(reply)) => {
-                    let _ = reply.send(self.document_reading());
+                    let _ = reply.send(self.document_read_reply());
                 }
                 None => {}
             }
@@ -337,7 +337,7 @@
                     batches.into_iter().for_each(refuse_batch);
                 }
                 Some(UnconfirmedRead::Document(reply)) => {
-                    let _ = reply.send(DocumentReading::Unsure);
+                    let _ = reply.send(DocumentReadReply::Unsure);
                 }
                 None => {}
             }
--- a/crates/daemon/src/edges/callers.rs
+++ b/crates/daemon/src/edges/callers.rs
@@ -5,7 +5,7 @@
 use ragwort_types::AccessMode;
 use ragwort_types::AccountKey;
 use ragwort_types::LogPosition;
-use ragwort_types::PreparedShape;
+use ragwort_types::PreparedDefinition;
 use ragwort_types::TransactionMode;
 
 /// Decodes callers' messages and encodes answers to them.
@@ -70,7 +70,7 @@
         /// Its name within the session.
         name: String,
         /// The access and shape of the statement.
-        shape: PreparedShape,
+        shape: PreparedDefinition,
     },
     /// Runs a prepared statement.
     Execute {
--- a/crates/daemon/src/edges/endpoints.rs
+++ b/crates/daemon/src/edges/endpoints.rs
@@ -11,7 +11,7 @@
 use ragwort_types::InstanceName;
 use ragwort_types::InstanceRole;
 use ragwort_types::LogPosition;
-use ragwort_types::PreparedShape;
+use ragwort_types::PreparedDefinition;
 use ragwort_types::TransactionMode;
 
 /// Encodes commands to endpoints and decodes their messages.
@@ -63,7 +63,7 @@
         /// The caller's id of the statement.
         id: String,
         /// The prepared shape, which determines the statement's name on the connection.
-        shape: PreparedShape,
+        shape: PreparedDefinition,
         /// The arguments.
         arguments: String,
         /// The position that the endpoint's log must have reached; allowed for reads only.
@@ -84,7 +84,7 @@
         value: String,
     },
     /// Prepares a statement under the name derived from its shape.
-    Prepare(PreparedShape),
+    Prepare(PreparedDefinition),
     /// Clears the connection's values and prepared statements.
     Reset,
     /// Requests an [`EndpointReport`]. The request occupies one of the endpoint's slots.
--- a/crates/daemon/src/edges/services.rs
+++ b/crates/daemon/src/edges/services.rs
@@ -7,7 +7,7 @@
 use log::Level;
 use ragwort_types::AnnouncementReply;
 use ragwort_types::ContractDocument;
-use ragwort_types::DocumentReading;
+use ragwort_types::DocumentReadReply;
 use ragwort_types::DocumentReply;
 use ragwort_types::EndpointAnnouncement;
 use std::io;
@@ -89,7 +89,7 @@
     }
 
     /// Returns the contract document that a majority of the voters confirms to be the newest.
-    pub async fn read_document(&self) -> DocumentReading {
+    pub async fn read_document(&self) -> DocumentReadReply {
         self.routes.find_document().await
     }
 }
--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -35,7 +35,7 @@
 use ragwort_types::MemberRecord;
 use ragwort_types::RefusalCause;
 use ragwort_types::RepeatRule;
-use ragwort_types::RequestMarks;
+use ragwort_types::RequestOptions;
 use ragwort_types::RequestVerdict;
 use ragwort_types::ShapeOutcome;
 use ragwort_types::ShapeReply;
@@ -255,7 +255,7 @@
         let Some(target) = self.find_route(&request.group) else {
             return self.refuse(&request, self.outage_cause());
         };
-        let limit = Duration::from_millis(ragwort_types::LONGEST_DEADLINE_MS);
+        let limit = Duration::from_millis(ragwort_types::MAX_DEADLINE_MS);
         match self
             .hand_over(&request, target.leaseholder, limit, false)
             .await
@@ -292,7 +292,7 @@
         let started = self.clock.now();
         let view = self.view.borrow().clone();
         let contract = view.copy.contract(&request.customer);
-        let marks = RequestMarks::default();
+        let marks = RequestOptions::default();
         let Some(terms) = contract.and_then(|held| find_terms(&held.contract, &marks)) else {
             return shape_reply(&request, ShapeOutcome::refused(RefusalCause::Contract, 0));
         };
@@ -320,7 +320,7 @@
     /// leaseholder.
     pub async fn relay_describe(&self, mut request: ShapeRequest) -> ShapeReply {
         request.relay = false;
-        let limit = Duration::from_millis(ragwort_types::LONGEST_DEADLINE_MS);
+        let limit = Duration::from_millis(ragwort_types::MAX_DEADLINE_MS);
         let reply = match self.find_route(&request.group) {
             Some(target) => self.ask_shape(&request, target.leaseholder, limit).await,
             None => None,
@@ -647,7 +647,7 @@
 }
 
 /// Returns the terms of the kind that a statement's marks name, or of the default kind.
-pub fn find_terms(contract: &CustomerContract, marks: &RequestMarks) -> Option<KindTerms> {
+pub fn find_terms(contract: &CustomerContract, marks: &RequestOptions) -> Option<KindTerms> {
     let kind = marks.kind.as_ref().unwrap_or(&contract.default_kind);
     contract.kind(kind).copied()
 }
@@ -671,7 +671,7 @@
 
 /// Returns the time that a statement may take: the contract's deadline, or the caller's if that is
 /// shorter.
-pub fn find_deadline(terms: &KindTerms, marks: &RequestMarks) -> Duration {
+pub fn find_deadline(terms: &KindTerms, marks: &RequestOptions) -> Duration {
     let asked = marks.deadline_ms.unwrap_or(u64::MAX);
     Duration::from_millis(terms.deadline_ms.min(asked))
 }
--- a/crates/daemon/src/group/journaling.rs
+++ b/crates/daemon/src/group/journaling.rs
@@ -21,7 +21,7 @@
 use ragwort_types::CatalogCommand;
 use ragwort_types::CatalogOutcome;
 use ragwort_types::CommandReply;
-use ragwort_types::JournalMark;
+use ragwort_types::JournalConfirmation;
 use ragwort_types::JournalRequest;
 use ragwort_types::VmName;
 use std::collections::BTreeSet;
@@ -184,7 +184,7 @@
             return;
         }
         self.confirming_epoch = Some(epoch);
-        let mark = JournalMark {
+        let mark = JournalConfirmation {
             group: self.group.clone(),
             epoch,
         };
@@ -192,7 +192,7 @@
     }
 
     /// Handles the outcome of a proposed confirmation.
-    pub(super) fn handle_journal_mark(&mut self, mark: JournalMark, reply: &CommandReply) {
+    pub(super) fn handle_journal_mark(&mut self, mark: JournalConfirmation, reply: &CommandReply) {
         if mark.epoch != self.record.placement.epoch {
             return;
         }
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -24,7 +24,7 @@
 use ragwort_types::AccountGrant;
 use ragwort_types::AccountLimit;
 use ragwort_types::AccountName;
-use ragwort_types::AccountNeed;
+use ragwort_types::AccountShareRequest;
 use ragwort_types::GroupName;
 use ragwort_types::GroupRecord;
 use ragwort_types::LimitReply;
@@ -260,7 +260,7 @@
         let holders = list_holders(&view.copy);
         state.shares.set_holders(self.tolerance, holders.len());
         let mut requests = BTreeMap::new();
-        let without_keeper = self.request_needs(&mut state, now, &locator, &mut requests);
+        let without_keeper = self.add_due_requests(&mut state, now, &locator, &mut requests);
         self.declare_held(&mut state, now, &locator, &mut requests);
         for account in without_keeper {
             let end = state.shares.give_up(now, &account);
@@ -277,9 +277,9 @@
         }
     }
 
-    /// Adds the due needs to the requests of the VMs that keep the ledgers. Returns the accounts
+    /// Adds the due share requests to the requests to the VMs that keep the ledgers. Returns the accounts
     /// whose ledgers no VM keeps.
-    fn request_needs(
+    fn add_due_requests(
         &self,
         state: &mut LimiterState,
         now: ClockTime,
@@ -289,13 +289,13 @@
         let LimiterState {
             shares, in_flight, ..
         } = state;
-        let needs = shares.due_needs(now, |account| {
+        let due = shares.due_share_requests(now, |account| {
             locator
                 .find_keeper(account)
                 .is_none_or(|vm| !in_flight.contains(vm))
         });
         let mut without_keeper = Vec::new();
-        for need in needs {
+        for need in due {
             match locator.find_keeper(&need.account).cloned() {
                 Some(vm) => self.request_for(requests, vm).accounts.push(need),
                 None => without_keeper.push(need.account),
@@ -423,7 +423,7 @@
             .into_iter()
             .map(|grant| (grant.account.clone(), grant))
             .collect();
-        for AccountNeed { account, .. } in &request.accounts {
+        for AccountShareRequest { account, .. } in &request.accounts {
             let end = match grants.get(account) {
                 Some(grant) => self.shares.take_grant(now, sent, grant),
                 None => self.shares.give_up(now, account),
--- a/crates/daemon/src/native/dispatch.rs
+++ b/crates/daemon/src/native/dispatch.rs
@@ -32,8 +32,8 @@
 use ragwort_types::RefusalCause;
 use ragwort_types::RequestVerdict;
 use ragwort_types::ServedBy;
-use ragwort_types::StatementAct;
 use ragwort_types::StatementId;
+use ragwort_types::StatementOperation;
 use ragwort_types::StatementReply;
 use ragwort_types::TransactionStep;
 use std::time::Duration;
@@ -116,8 +116,10 @@
             return;
         };
         let prepared = match &active.context.act {
-            StatementAct::Prepared(shape) => Some(shape),
-            StatementAct::Text(_) | StatementAct::Commit | StatementAct::Rollback => None,
+            StatementOperation::Prepared(shape) => Some(shape),
+            StatementOperation::Text(_)
+            | StatementOperation::Commit
+            | StatementOperation::Rollback => None,
         };
         let replay = connection.image.plan(&active.context.values, prepared);
         let prelude = StatementPrelude {
@@ -188,7 +190,7 @@
         match active.request.step {
             TransactionStep::Single | TransactionStep::Begin(_) => {
                 let prepared = match &active.context.act {
-                    StatementAct::Prepared(shape) => Some(shape),
+                    StatementOperation::Prepared(shape) => Some(shape),
                     _ => None,
                 };
                 let account = active.request.account.as_ref();
@@ -324,15 +326,15 @@
     let id = active.context.caller_id.clone();
     let text = active.request.text.clone();
     match &active.context.act {
-        StatementAct::Text(_) => EndpointCommand::Run { id, text, after },
-        StatementAct::Prepared(shape) => EndpointCommand::Execute {
+        StatementOperation::Text(_) => EndpointCommand::Run { id, text, after },
+        StatementOperation::Prepared(shape) => EndpointCommand::Execute {
             id,
             shape: shape.clone(),
             arguments: text,
             after,
         },
-        StatementAct::Commit => EndpointCommand::Commit { id },
-        StatementAct::Rollback => EndpointCommand::Rollback,
+        StatementOperation::Commit => EndpointCommand::Commit { id },
+        StatementOperation::Rollback => EndpointCommand::Rollback,
     }
 }
 
--- a/crates/daemon/src/native/faults.rs
+++ b/crates/daemon/src/native/faults.rs
@@ -17,12 +17,12 @@
 use ragwort_policy::RequestTicket;
 use ragwort_types::AccessMode;
 use ragwort_types::EndpointFault;
-use ragwort_types::FaultSort;
+use ragwort_types::EndpointFaultKind;
 use ragwort_types::InstanceName;
 use ragwort_types::RefusalCause;
 use ragwort_types::RequestVerdict;
-use ragwort_types::StatementAct;
 use ragwort_types::StatementAnswer;
+use ragwort_types::StatementOperation;
 use ragwort_types::TransactionStep;
 
 impl NativeTask {
@@ -49,12 +49,12 @@
         &mut self,
         ticket: RequestTicket,
         instance: &InstanceName,
-        sort: FaultSort,
+        sort: EndpointFaultKind,
         end: Option<EndpointEnd>,
     ) {
         let now = self.now();
         match sort {
-            FaultSort::ReadOnly => {
+            EndpointFaultKind::ReadOnly => {
                 log_event!(
                     Level::Info,
                     "write_refused",
@@ -64,7 +64,7 @@
                 self.roles.see_refused_write(now, instance);
                 self.apply_roles();
             }
-            FaultSort::Lagging => {
+            EndpointFaultKind::Lagging => {
                 let min_position = self.requests.get(&ticket).map(|active| active.min_position);
                 let wanted = min_position.unwrap_or_default();
                 let replica = self.replicas.entry(instance.clone()).or_default();
@@ -100,8 +100,8 @@
             return;
         };
         let step = active.request.step;
-        if fault.sort == FaultSort::UnknownStatement
-            && let StatementAct::Prepared(shape) = active.context.act.clone()
+        if fault.sort == EndpointFaultKind::UnknownStatement
+            && let StatementOperation::Prepared(shape) = active.context.act.clone()
             && let Some(connection) = self.pool.connection_mut(link)
         {
             connection.image.forget_prepared(&shape);
@@ -166,19 +166,19 @@
 }
 
 /// Returns the scheduler's outcome for a statement that an instance didn't run because of this fault.
-fn outcome_of(sort: FaultSort) -> FinishOutcome {
+fn outcome_of(sort: EndpointFaultKind) -> FinishOutcome {
     match sort {
-        FaultSort::Lagging => FinishOutcome::Behind,
+        EndpointFaultKind::Lagging => FinishOutcome::Behind,
         _ => FinishOutcome::NotRun,
     }
 }
 
 /// Returns the refusal cause for a statement that did not run because of this fault.
-fn refusal_of(sort: FaultSort) -> RefusalCause {
+fn refusal_of(sort: EndpointFaultKind) -> RefusalCause {
     match sort {
-        FaultSort::Lagging => RefusalCause::ReplicasBehind,
-        FaultSort::ReadOnly => RefusalCause::NoPrimary,
-        FaultSort::Aborted => RefusalCause::TransactionLost,
+        EndpointFaultKind::Lagging => RefusalCause::ReplicasBehind,
+        EndpointFaultKind::ReadOnly => RefusalCause::NoPrimary,
+        EndpointFaultKind::Aborted => RefusalCause::TransactionLost,
         _ => RefusalCause::EndpointRefused,
     }
 }
--- a/crates/daemon/src/native/link.rs
+++ b/crates/daemon/src/native/link.rs
@@ -285,8 +285,8 @@
 
 fn cause_of(fault: &EndpointFault) -> CloseCause {
     match fault.sort {
-        ragwort_types::FaultSort::WrongInstance => CloseCause::WrongInstance,
-        ragwort_types::FaultSort::ConnectionLimit => CloseCause::Full,
+        ragwort_types::EndpointFaultKind::WrongInstance => CloseCause::WrongInstance,
+        ragwort_types::EndpointFaultKind::ConnectionLimit => CloseCause::Full,
         _ => CloseCause::Refused,
     }
 }
--- a/crates/daemon/src/native/notes.rs
+++ b/crates/daemon/src/native/notes.rs
@@ -1,4 +1,4 @@
-//! Endpoint notes: the leaseholder records the group's endpoints and primary in the catalog, and its
+//! Recorded endpoints: the leaseholder records the group's endpoints and primary in the catalog, and its
 //! successor connects to them without waiting for their announcements.
 //!
 //! # Load
@@ -9,7 +9,7 @@
 //!
 //! # Safety
 //!
-//! The notes may be out of date. The opening exchange names the expected instance, so a connection is
+//! The record may be out of date. The opening exchange names the expected instance, so a connection is
 //! refused if its address belongs to another one by now. Each instance that answers is asked for its
 //! role and term before it is used.
 
@@ -20,12 +20,12 @@
 use ragwort_types::CatalogCommand;
 use ragwort_types::CommandReply;
 use ragwort_types::EndpointAnnouncement;
-use ragwort_types::EndpointNotes;
 use ragwort_types::GroupTerm;
 use ragwort_types::InstanceName;
 use ragwort_types::InstanceRole;
 use ragwort_types::InstanceStatus;
 use ragwort_types::LogPosition;
+use ragwort_types::RecordedEndpoints;
 use std::time::Duration;
 
 /// Debounce time of changes, which are noted together since each note goes to every VM. All endpoints of
@@ -79,13 +79,15 @@
             return;
         }
         self.notes.proposed = true;
-        self.propose(CatalogCommand::RecordEndpoints(Box::new(EndpointNotes {
-            group: self.group.clone(),
-            epoch: self.record.placement.epoch,
-            term,
-            primary,
-            endpoints,
-        })));
+        self.propose(CatalogCommand::RecordEndpoints(Box::new(
+            RecordedEndpoints {
+                group: self.group.clone(),
+                epoch: self.record.placement.epoch,
+                term,
+                primary,
+                endpoints,
+            },
+        )));
     }
 
     fn primary_to_note(&self) -> (GroupTerm, Option<InstanceName>) {
--- a/crates/daemon/src/native/outcomes.rs
+++ b/crates/daemon/src/native/outcomes.rs
@@ -33,8 +33,8 @@
 use ragwort_types::RefusalCause;
 use ragwort_types::RequestVerdict;
 use ragwort_types::ServedBy;
-use ragwort_types::StatementAct;
 use ragwort_types::StatementAnswer;
+use ragwort_types::StatementOperation;
 use ragwort_types::TaggedRows;
 use ragwort_types::TransactionId;
 use ragwort_types::TransactionStep;
@@ -535,5 +535,5 @@
     ticket: RequestTicket,
 ) -> bool {
     let active = requests.get(&ticket);
-    active.is_some_and(|active| active.context.act == StatementAct::Commit)
+    active.is_some_and(|active| active.context.act == StatementOperation::Commit)
 }
--- a/crates/daemon/src/native/pool.rs
+++ b/crates/daemon/src/native/pool.rs
@@ -22,7 +22,7 @@
 use ragwort_types::EndpointAnnouncement;
 use ragwort_types::GroupName;
 use ragwort_types::InstanceName;
-use ragwort_types::PreparedShape;
+use ragwort_types::PreparedDefinition;
 use ragwort_types::SessionValues;
 use ragwort_types::TransactionId;
 use std::collections::BTreeMap;
@@ -309,7 +309,7 @@
         instance: &InstanceName,
         account: Option<&AccountName>,
         values: &SessionValues,
-        prepared: Option<&PreparedShape>,
+        prepared: Option<&PreparedDefinition>,
     ) -> Option<LinkId> {
         let own = self
             .connections
--- a/crates/daemon/src/native/ticking.rs
+++ b/crates/daemon/src/native/ticking.rs
@@ -1,5 +1,5 @@
 //! Periodic checks of the leaseholder: idle transactions and connections, silent endpoints, a failed
-//! primary, handover, endpoint notes and metrics.
+//! primary, handover, recorded endpoints and metrics.
 
 use super::NativeTask;
 use super::TICK;
--- a/crates/daemon/src/server.rs
+++ b/crates/daemon/src/server.rs
@@ -45,17 +45,17 @@
 use ragwort_types::ContractDocument;
 use ragwort_types::ControlIdentity;
 use ragwort_types::CustomerName;
-use ragwort_types::DigestSeal;
-use ragwort_types::DocumentReading;
+use ragwort_types::DigestSecret;
+use ragwort_types::DocumentReadReply;
 use ragwort_types::DocumentReply;
 use ragwort_types::EndpointAnnouncement;
-use ragwort_types::ForceStatus;
 use ragwort_types::FormReply;
 use ragwort_types::GroupName;
 use ragwort_types::GroupPlacement;
 use ragwort_types::HeartbeatBatch;
 use ragwort_types::HeartbeatReply;
 use ragwort_types::HeartbeatRequest;
+use ragwort_types::InForceStatus;
 use ragwort_types::InstanceIdentity;
 use ragwort_types::JournalAppend;
 use ragwort_types::JournalCopy;
@@ -230,7 +230,7 @@
         if !faults.is_empty() {
             return DocumentReply::Invalid(faults.iter().map(ToString::to_string).collect());
         }
-        document.seal = Some(DigestSeal(rand::random()));
+        document.seal = Some(DigestSecret(rand::random()));
         let command = CatalogCommand::ApplyDocument(Box::new(document));
         match self.propose_to_control_vms(&command).await {
             CommandReply::Committed(CatalogOutcome::DocumentAccepted(acceptance)) => {
@@ -246,7 +246,7 @@
     }
 
     /// Returns the whole configuration document, as confirmed by a majority.
-    pub async fn find_document(&self) -> DocumentReading {
+    pub async fn find_document(&self) -> DocumentReadReply {
         if self.control.is_none() {
             return self.ask_for_document().await;
         }
@@ -254,19 +254,19 @@
         let asking = self.ask_control(|reply| ControlEvent::ReadDocument(question, reply));
         match timeout(OPERATOR_LIMIT, asking).await {
             Ok(Ok(reading)) => reading,
-            Ok(Err(_)) | Err(_) => DocumentReading::Unsure,
+            Ok(Err(_)) | Err(_) => DocumentReadReply::Unsure,
         }
     }
 
-    async fn ask_for_document(&self) -> DocumentReading {
+    async fn ask_for_document(&self) -> DocumentReadReply {
         for address in self.directory.addresses() {
             let call = |client: Arc<WsClient>| async move { client.leader_document().await };
             match self.links.call(address, OPERATOR_LIMIT, call).await {
-                Ok(DocumentReading::Unsure) | Err(_) => {}
+                Ok(DocumentReadReply::Unsure) | Err(_) => {}
                 Ok(reading) => return reading,
             }
         }
-        DocumentReading::Unsure
+        DocumentReadReply::Unsure
     }
 
     /// Accepts an announcement and passes it on to the VMs that serve the group.
@@ -461,7 +461,7 @@
         self.ask_control(ControlEvent::Identity).await.map(Some)
     }
 
-    async fn leader_document(&self) -> RpcResult<DocumentReading> {
+    async fn leader_document(&self) -> RpcResult<DocumentReadReply> {
         self.ask_control(|reply| ControlEvent::ReadDocument(DocumentQuestion::PassedOn, reply))
             .await
     }
@@ -481,7 +481,10 @@
             .await
     }
 
-    async fn leader_force(&self, acceptance: ContractAcceptance) -> RpcResult<Option<ForceStatus>> {
+    async fn leader_in_force_status(
+        &self,
+        acceptance: ContractAcceptance,
+    ) -> RpcResult<Option<InForceStatus>> {
         self.ask_control(|reply| ControlEvent::Force(acceptance, reply))
             .await
     }
@@ -520,11 +523,11 @@
         Ok(self.replace_document(document).await)
     }
 
-    async fn read_document(&self) -> RpcResult<DocumentReading> {
+    async fn read_document(&self) -> RpcResult<DocumentReadReply> {
         Ok(self.find_document().await)
     }
 
-    async fn force_status(&self, acceptance: ContractAcceptance) -> RpcResult<ForceStatus> {
+    async fn in_force_status(&self, acceptance: ContractAcceptance) -> RpcResult<InForceStatus> {
         if self.control.is_some()
             && let Some(status) = self
                 .ask_control(|reply| ControlEvent::Force(acceptance, reply))
@@ -532,12 +535,14 @@
         {
             return Ok(status);
         }
-        // Only the leader knows the status. It answers `leader_force` without asking other VMs, so
+        // Only the leader knows the status. It answers `leader_in_force_status` without asking other VMs, so
         // the calls can't form a loop.
         let own = self.settings.listen.peers;
         let others = self.directory.addresses().into_iter();
         for address in others.filter(|address| *address != own) {
-            let call = |client: Arc<WsClient>| async move { client.leader_force(acceptance).await };
+            let call = |client: Arc<WsClient>| async move {
+                client.leader_in_force_status(acceptance).await
+            };
             let reply = self.links.call(address, OPERATOR_LIMIT, call).await;
             if let Ok(Some(status)) = reply {
                 return Ok(status);
--- a/crates/daemon/src/sessions/state.rs
+++ b/crates/daemon/src/sessions/state.rs
@@ -15,16 +15,16 @@
 use crate::sessions::WRITE_KIND;
 use ragwort_types::AccessMode;
 use ragwort_types::EndpointFault;
-use ragwort_types::FaultSort;
+use ragwort_types::EndpointFaultKind;
 use ragwort_types::LogPosition;
-use ragwort_types::PreparedShape;
+use ragwort_types::PreparedDefinition;
 use ragwort_types::Refusal;
 use ragwort_types::RefusalCause;
 use ragwort_types::RequestVerdict;
 use ragwort_types::SessionContext;
 use ragwort_types::SessionValues;
-use ragwort_types::StatementAct;
 use ragwort_types::StatementAnswer;
+use ragwort_types::StatementOperation;
 use ragwort_types::StatementReply;
 use ragwort_types::TransactionId;
 use ragwort_types::TransactionMode;
@@ -78,7 +78,7 @@
 #[derive(Debug, Default)]
 pub struct CallerSession {
     values: SessionValues,
-    prepared: HashMap<String, PreparedShape>,
+    prepared: HashMap<String, PreparedDefinition>,
     progress: TransactionProgress,
     last_write: Option<LogPosition>,
 }
@@ -109,11 +109,11 @@
             CallerStatement::Commit => self.handle_commit(id),
             CallerStatement::Rollback => self.handle_rollback(id),
             CallerStatement::Run { access, text } => {
-                self.draft(id, StatementAct::Text(access), text)
+                self.draft(id, StatementOperation::Text(access), text)
             }
             CallerStatement::Execute { name, arguments } => {
                 match self.prepared.get(&name).cloned() {
-                    Some(shape) => self.draft(id, StatementAct::Prepared(shape), arguments),
+                    Some(shape) => self.draft(id, StatementOperation::Prepared(shape), arguments),
                     None => self.fail(
                         CallerErrorSort::UnknownStatement,
                         "no prepared statement has this name",
@@ -239,7 +239,7 @@
                 self.fail(CallerErrorSort::Malformed, "no transaction is open")
             }
             TransactionProgress::Deferred(_) | TransactionProgress::Open(_) => {
-                self.draft(id, StatementAct::Commit, String::new())
+                self.draft(id, StatementOperation::Commit, String::new())
             }
         }
     }
@@ -258,8 +258,8 @@
         }
     }
 
-    fn draft(&mut self, id: String, act: StatementAct, text: String) -> SessionStep {
-        let commits = act == StatementAct::Commit;
+    fn draft(&mut self, id: String, act: StatementOperation, text: String) -> SessionStep {
+        let commits = act == StatementOperation::Commit;
         let (step, opens) = match self.progress {
             TransactionProgress::None | TransactionProgress::Failed(_) => {
                 (TransactionStep::Single, None)
@@ -271,7 +271,7 @@
             TransactionProgress::Open(open) => (TransactionStep::Within(open), None),
         };
         let kind = match (&act, act.access()) {
-            (StatementAct::Commit | StatementAct::Rollback, _) => END_KIND,
+            (StatementOperation::Commit | StatementOperation::Rollback, _) => END_KIND,
             (_, AccessMode::Read) => READ_KIND,
             (_, AccessMode::Write) => WRITE_KIND,
         };
@@ -294,7 +294,7 @@
             step: TransactionStep::Rollback(transaction),
             kind: END_KIND,
             text: String::new(),
-            context: self.make_context(id, StatementAct::Rollback, None),
+            context: self.make_context(id, StatementOperation::Rollback, None),
             answers_failed_commit,
         }
     }
@@ -302,7 +302,7 @@
     fn make_context(
         &self,
         caller_id: String,
-        act: StatementAct,
+        act: StatementOperation,
         opens: Option<TransactionMode>,
     ) -> SessionContext {
         SessionContext {
@@ -315,7 +315,7 @@
     }
 
     fn apply_success(&mut self, draft: &StatementDraft, position: Option<LogPosition>) {
-        let commits = draft.context.act == StatementAct::Commit;
+        let commits = draft.context.act == StatementOperation::Commit;
         let single_write = draft.step == TransactionStep::Single
             && draft.context.act.access() == AccessMode::Write;
         if commits || single_write {
@@ -339,7 +339,7 @@
         };
         self.progress = match draft.step {
             TransactionStep::Single => TransactionProgress::None,
-            TransactionStep::Begin(_) if draft.context.act == StatementAct::Commit => {
+            TransactionStep::Begin(_) if draft.context.act == StatementOperation::Commit => {
                 TransactionProgress::None
             }
             TransactionStep::Begin(id) | TransactionStep::Within(id) => {
@@ -407,7 +407,7 @@
         }
         let mut draft = self.clone();
         draft.step = TransactionStep::Rollback(open);
-        draft.context.act = StatementAct::Rollback;
+        draft.context.act = StatementOperation::Rollback;
         draft.text = String::new();
         Some(draft)
     }
@@ -423,17 +423,17 @@
 
 fn error_of_fault(fault: &EndpointFault) -> CallerError {
     let sort = match fault.sort {
-        FaultSort::Busy | FaultSort::ConnectionLimit | FaultSort::WrongInstance => {
-            CallerErrorSort::Busy
-        }
-        FaultSort::Lagging => CallerErrorSort::Lagging,
-        FaultSort::ReadOnly => CallerErrorSort::NoPrimary,
-        FaultSort::UnknownStatement => CallerErrorSort::UnknownStatement,
-        FaultSort::Aborted => CallerErrorSort::Aborted,
-        FaultSort::Failed => CallerErrorSort::Failed,
-        FaultSort::TimedOut => CallerErrorSort::TimedOut,
-        FaultSort::Malformed => CallerErrorSort::Malformed,
-        FaultSort::Other => CallerErrorSort::InDoubt,
+        EndpointFaultKind::Busy
+        | EndpointFaultKind::ConnectionLimit
+        | EndpointFaultKind::WrongInstance => CallerErrorSort::Busy,
+        EndpointFaultKind::Lagging => CallerErrorSort::Lagging,
+        EndpointFaultKind::ReadOnly => CallerErrorSort::NoPrimary,
+        EndpointFaultKind::UnknownStatement => CallerErrorSort::UnknownStatement,
+        EndpointFaultKind::Aborted => CallerErrorSort::Aborted,
+        EndpointFaultKind::Failed => CallerErrorSort::Failed,
+        EndpointFaultKind::TimedOut => CallerErrorSort::TimedOut,
+        EndpointFaultKind::Malformed => CallerErrorSort::Malformed,
+        EndpointFaultKind::Other => CallerErrorSort::InDoubt,
     };
     CallerError {
         sort,
--- a/crates/daemon/tests/native/bench.rs
+++ b/crates/daemon/tests/native/bench.rs
@@ -14,7 +14,7 @@
 use ragwort_types::AccessMode;
 use ragwort_types::AccountName;
 use ragwort_types::AccountTerms;
-use ragwort_types::CallerRule;
+use ragwort_types::CallerAdmission;
 use ragwort_types::CatalogCommand;
 use ragwort_types::CatalogDelta;
 use ragwort_types::CatalogItem;
@@ -26,7 +26,6 @@
 use ragwort_types::ContractVersion;
 use ragwort_types::CustomerContract;
 use ragwort_types::EndpointAnnouncement;
-use ragwort_types::EndpointNotes;
 use ragwort_types::GroupPlacement;
 use ragwort_types::GroupRecord;
 use ragwort_types::GroupTerm;
@@ -42,14 +41,15 @@
 use ragwort_types::MemberRecord;
 use ragwort_types::MemberTraits;
 use ragwort_types::PlacementEpoch;
+use ragwort_types::RecordedEndpoints;
 use ragwort_types::RepeatRule;
-use ragwort_types::RequestMarks;
+use ragwort_types::RequestOptions;
 use ragwort_types::RequestVerdict;
 use ragwort_types::SessionContext;
 use ragwort_types::SessionValues;
-use ragwort_types::StatementAct;
 use ragwort_types::StatementAnswer;
 use ragwort_types::StatementId;
+use ragwort_types::StatementOperation;
 use ragwort_types::StatementReply;
 use ragwort_types::StatementRequest;
 use ragwort_types::TransactionMode;
@@ -145,7 +145,7 @@
 pub struct Ask {
     kind: &'static str,
     text: String,
-    act: StatementAct,
+    act: StatementOperation,
     step: TransactionStep,
     opens: Option<TransactionMode>,
     values: SessionValues,
@@ -163,7 +163,7 @@
         Self {
             kind,
             text: text.to_owned(),
-            act: StatementAct::Text(access),
+            act: StatementOperation::Text(access),
             step: TransactionStep::Single,
             opens: None,
             values: SessionValues::new(),
@@ -199,7 +199,7 @@
             self.opens = Some(TransactionMode::ReadWrite);
         }
         if matches!(step, TransactionStep::Commit(_)) {
-            self.act = StatementAct::Commit;
+            self.act = StatementOperation::Commit;
         }
         self
     }
@@ -218,9 +218,9 @@
             customer: "omuti".into(),
             session: "clerk".into(),
             group: "cases".into(),
-            marks: RequestMarks {
+            marks: RequestOptions {
                 kind: Some(self.kind.into()),
-                ..RequestMarks::default()
+                ..RequestOptions::default()
             },
             text: self.text,
             parameters: None,
@@ -240,8 +240,8 @@
     }
 }
 
-/// The endpoint notes that were proposed to the control VM.
-type ProposedNotes = Arc<Mutex<Vec<EndpointNotes>>>;
+/// The recorded endpoints that were proposed to the control VM.
+type ProposedEndpoints = Arc<Mutex<Vec<RecordedEndpoints>>>;
 
 /// The running leaseholder task and its surroundings.
 pub struct NativeBench {
@@ -249,7 +249,7 @@
     pub promotions: Arc<ScriptedPromotions>,
     pub view: watch::Sender<MemberView>,
     descriptors: DescriptorBudget,
-    notes: ProposedNotes,
+    notes: ProposedEndpoints,
     inbox: mpsc::Sender<GroupEvent>,
     sequence: u64,
     _control: ServerHandle,
@@ -306,7 +306,7 @@
             let name = format!("cases-{}", index + 1);
             endpoints.push(ScriptedEndpoint::start(&name, role, position(length)).await);
         }
-        let notes = ProposedNotes::default();
+        let notes = ProposedEndpoints::default();
         let (control_address, control) = start_control(Arc::clone(&notes)).await;
         let settings = Arc::new(create_settings(control_address));
         let record = create(&endpoints);
@@ -505,7 +505,7 @@
     /// Changes the contract so that only callers with an account's key are admitted.
     pub fn require_keys(&self) {
         let mut contract = create_contract();
-        contract.callers = CallerRule::KeyHolders;
+        contract.callers = CallerAdmission::KeyHolders;
         let contract = VersionedContract {
             version: ContractVersion(2),
             change_id: ChangeId::fresh(),
@@ -632,7 +632,7 @@
 }
 
 /// Starts a stand-in for the control VM that commits every command at the next revision.
-async fn start_control(notes: ProposedNotes) -> (SocketAddr, ServerHandle) {
+async fn start_control(notes: ProposedEndpoints) -> (SocketAddr, ServerHandle) {
     let mut module = RpcModule::new(AtomicU64::new(100));
     module
         .register_method(
@@ -715,7 +715,7 @@
         connection_limit: 16,
         queue_limit: 64,
         session_limit: 64,
-        callers: CallerRule::default(),
+        callers: CallerAdmission::default(),
     }
 }
 
--- a/crates/daemon/tests/native/codec.rs
+++ b/crates/daemon/tests/native/codec.rs
@@ -3,7 +3,7 @@
 use bytes::Buf;
 use bytes::BytesMut;
 use ragwort_types::EndpointFault;
-use ragwort_types::FaultSort;
+use ragwort_types::EndpointFaultKind;
 use ragwort_types::GroupTerm;
 use ragwort_types::InstanceRole;
 use ragwort_types::LogPosition;
@@ -17,17 +17,17 @@
 use ragwortgated::edges::SessionState;
 
 /// The faults that scripts use, and their words on the wire.
-const FAULTS: [(&str, FaultSort); 5] = [
-    ("lagging", FaultSort::Lagging),
-    ("readonly", FaultSort::ReadOnly),
-    ("wrong", FaultSort::WrongInstance),
-    ("failed", FaultSort::Failed),
-    ("full", FaultSort::ConnectionLimit),
+const FAULTS: [(&str, EndpointFaultKind); 5] = [
+    ("lagging", EndpointFaultKind::Lagging),
+    ("readonly", EndpointFaultKind::ReadOnly),
+    ("wrong", EndpointFaultKind::WrongInstance),
+    ("failed", EndpointFaultKind::Failed),
+    ("full", EndpointFaultKind::ConnectionLimit),
 ];
 
 pub struct LineProtocol;
 
-pub fn fault_word(sort: FaultSort) -> &'static str {
+pub fn fault_word(sort: EndpointFaultKind) -> &'static str {
     let found = FAULTS.iter().find(|(_, known)| *known == sort);
     found.expect("the fault has no word in FAULTS").0
 }
--- a/crates/daemon/tests/native/endpoint.rs
+++ b/crates/daemon/tests/native/endpoint.rs
@@ -2,7 +2,7 @@
 
 use crate::codec::fault_word;
 use crate::codec::read_position;
-use ragwort_types::FaultSort;
+use ragwort_types::EndpointFaultKind;
 use ragwort_types::InstanceRole;
 use ragwort_types::LogPosition;
 use std::collections::HashSet;
@@ -30,7 +30,7 @@
     /// Whether it withholds all answers, on every connection.
     pub silent: bool,
     /// Faults of coming statements by their text; each is used once.
-    pub faults: Vec<(String, FaultSort)>,
+    pub faults: Vec<(String, EndpointFaultKind)>,
     /// All statements that ran.
     pub ran: Vec<RanStatement>,
     /// All answered commands, each with the number of its connection.
@@ -143,7 +143,7 @@
                     return "fault wrong\n".to_owned();
                 }
                 if self.open.len() >= self.connection_limit {
-                    let fault = fault_word(FaultSort::ConnectionLimit);
+                    let fault = fault_word(EndpointFaultKind::ConnectionLimit);
                     return format!("fault {fault}\n");
                 }
                 self.open.insert(connection);
@@ -175,7 +175,7 @@
 
     fn run(&mut self, connection: usize, after: &str, text: &str) -> String {
         if read_position(after).is_some_and(|after| after > self.position) {
-            return format!("fault {}\n", fault_word(FaultSort::Lagging));
+            return format!("fault {}\n", fault_word(EndpointFaultKind::Lagging));
         }
         if let Some(place) = self.faults.iter().position(|(known, _)| known == text) {
             let (_, sort) = self.faults.remove(place);
@@ -183,7 +183,7 @@
         }
         let writes = text.starts_with("write") || text == "commit";
         if writes && self.role == InstanceRole::Replica {
-            return format!("fault {}\n", fault_word(FaultSort::ReadOnly));
+            return format!("fault {}\n", fault_word(EndpointFaultKind::ReadOnly));
         }
         if writes {
             self.position.index += 1;
--- a/crates/daemon/tests/native/failover.rs
+++ b/crates/daemon/tests/native/failover.rs
@@ -7,7 +7,7 @@
 use crate::bench::is_served;
 use crate::bench::position;
 use ragwort_control::HEADLESS_TIME;
-use ragwort_types::FaultSort;
+use ragwort_types::EndpointFaultKind;
 use ragwort_types::RequestVerdict;
 use ragwortgated::edges::PromotionReply;
 use tokio::time::sleep;
@@ -123,7 +123,7 @@
 async fn refused_write_case() {
     let mut bench = NativeBench::start([5, 5, 5]).await;
     bench.settle().await;
-    let fault = ("write record".to_owned(), FaultSort::ReadOnly);
+    let fault = ("write record".to_owned(), EndpointFaultKind::ReadOnly);
     bench.endpoints[0].script().faults.push(fault);
     let reply = bench.ask(Ask::new(WRITE, "write record")).await;
     assert!(is_served(&reply), "{reply:?}");
--- a/crates/daemon/tests/sessions.rs
+++ b/crates/daemon/tests/sessions.rs
@@ -4,13 +4,13 @@
 use ragwort_types::DoubtCause;
 use ragwort_types::GroupTerm;
 use ragwort_types::LogPosition;
-use ragwort_types::PreparedShape;
+use ragwort_types::PreparedDefinition;
 use ragwort_types::RefusalCause;
 use ragwort_types::RequestVerdict;
 use ragwort_types::ServedBy;
-use ragwort_types::StatementAct;
 use ragwort_types::StatementAnswer;
 use ragwort_types::StatementId;
+use ragwort_types::StatementOperation;
 use ragwort_types::StatementReply;
 use ragwort_types::TaggedRows;
 use ragwort_types::TransactionMode;
@@ -198,7 +198,7 @@
     prepared_names_belong_to_their_session {
         let mut sessions = [CallerSession::default(), CallerSession::default()];
         for (number, session) in sessions.iter_mut().enumerate() {
-            let shape = PreparedShape {
+            let shape = PreparedDefinition {
                 access: AccessMode::Read,
                 shape: format!("shape-{number}"),
             };
@@ -211,7 +211,7 @@
                 arguments: "7".to_owned(),
             };
             let run = draft(session, statement);
-            let StatementAct::Prepared(shape) = run.context.act else {
+            let StatementOperation::Prepared(shape) = run.context.act else {
                 panic!("{:?}", run.context.act);
             };
             assert_eq!(shape.shape, format!("shape-{number}"));
--- a/crates/lab/src/scale.rs
+++ b/crates/lab/src/scale.rs
@@ -259,7 +259,7 @@
         };
         let accepted = Instant::now();
         self.accepted.0.push(to_millis(accepted - sent));
-        while !self.client.force_status(acceptance).await?.in_force {
+        while !self.client.in_force_status(acceptance).await?.in_force {
             sleep(STATUS_POLL_INTERVAL).await;
         }
         self.in_force.0.push(to_millis(accepted.elapsed()));
--- a/crates/lab/src/set_calls.rs
+++ b/crates/lab/src/set_calls.rs
@@ -157,7 +157,7 @@
     loop {
         let reason = match client.apply_contract(change.clone()).await {
             Ok(CommandReply::Committed(CatalogOutcome::ContractAccepted(acceptance))) => {
-                match client.force_status(acceptance).await {
+                match client.in_force_status(acceptance).await {
                     Ok(status) if status.in_force => return Ok(()),
                     Ok(status) => format!("{} members have not applied it", status.waiting_for),
                     Err(error) => error.to_string(),
--- a/crates/policy/src/account_ledger.rs
+++ b/crates/policy/src/account_ledger.rs
@@ -26,7 +26,7 @@
 use ragwort_types::AccountGrant;
 use ragwort_types::AccountLimit;
 use ragwort_types::AccountName;
-use ragwort_types::AccountNeed;
+use ragwort_types::AccountShareRequest;
 use ragwort_types::GroupName;
 use ragwort_types::PlacementEpoch;
 use ragwort_types::RateShare;
@@ -271,7 +271,7 @@
         &mut self,
         now: ClockTime,
         question: LedgerQuestion<'_>,
-        need: &AccountNeed,
+        need: &AccountShareRequest,
     ) -> Option<AccountGrant> {
         let LedgerQuestion {
             holder,
@@ -306,10 +306,10 @@
             }
         }
         let demand = need.demand as f64 / 1_000.0;
-        let free = RateShare::of_fraction(1.0 - ledger.lent_fraction(Some(holder)));
+        let free = RateShare::from_fraction(1.0 - ledger.lent_fraction(Some(holder)));
         let held = need.holds.min(free);
         let deserved = ledger.deserved_fraction(holder, demand, limit);
-        let deserved = RateShare::of_fraction(deserved);
+        let deserved = RateShare::from_fraction(deserved);
         let share = match known {
             Some(_) => deserved.min(free),
             None => deserved.min(held),
--- a/crates/policy/src/account_shares.rs
+++ b/crates/policy/src/account_shares.rs
@@ -22,7 +22,7 @@
 use ragwort_types::AccountGrant;
 use ragwort_types::AccountLimit;
 use ragwort_types::AccountName;
-use ragwort_types::AccountNeed;
+use ragwort_types::AccountShareRequest;
 use ragwort_types::RateShare;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -163,14 +163,14 @@
         !self.request_in_flight && (self.waiting > 0 || (holds && due))
     }
 
-    fn describe(&self, account: &AccountName) -> AccountNeed {
+    fn describe(&self, account: &AccountName) -> AccountShareRequest {
         // Asks for more than one operation, so that another one soon after needn't ask again.
         let soon = self.demand * SHARE_BUCKET_TIME.as_secs_f64();
         let wants = match self.waiting {
             0 => 0,
             waiting => waiting + soon as u32,
         };
-        AccountNeed {
+        AccountShareRequest {
             account: account.clone(),
             holds: self.share,
             demand: (self.demand * 1_000.0) as u64,
@@ -244,13 +244,13 @@
         }
     }
 
-    /// Returns the requests that are due now and marks them as sent. Accounts that `may_ask`
+    /// Returns the share requests that are due now and marks them as sent. Accounts that `may_ask`
     /// rejects are left for a later call.
-    pub fn due_needs(
+    pub fn due_share_requests(
         &mut self,
         now: ClockTime,
         may_ask: impl Fn(&AccountName) -> bool,
-    ) -> Vec<AccountNeed> {
+    ) -> Vec<AccountShareRequest> {
         let mut needs = Vec::new();
         for (account, share) in &mut self.accounts {
             share.refill(now);
@@ -270,7 +270,7 @@
         &mut self,
         now: ClockTime,
         at_home: impl Fn(&AccountName) -> bool,
-    ) -> Vec<AccountNeed> {
+    ) -> Vec<AccountShareRequest> {
         let held = self.accounts.iter_mut().filter(|(name, _)| at_home(name));
         let held = held.filter_map(|(account, share)| {
             share.refill(now);
--- a/crates/policy/src/replay.rs
+++ b/crates/policy/src/replay.rs
@@ -15,7 +15,7 @@
 //! be cleared, since there is no other way to unset one. A connection keeps at most
 //! [`MAX_PREPARED_STATEMENTS`], because the endpoint holds them in its memory.
 
-use ragwort_types::PreparedShape;
+use ragwort_types::PreparedDefinition;
 use ragwort_types::SessionValues;
 use smallvec::SmallVec;
 use std::collections::BTreeSet;
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConnectionImage {
     values: SessionValues,
-    prepared: BTreeSet<PreparedShape>,
+    prepared: BTreeSet<PreparedDefinition>,
     /// Whether an open transaction without an owner may have to be rolled back first.
     in_transaction: bool,
 }
@@ -47,7 +47,7 @@
         value: String,
     },
     /// Prepare a statement.
-    Prepare(PreparedShape),
+    Prepare(PreparedDefinition),
 }
 
 /// Steps in the order in which they must be carried out; most statements need none.
@@ -55,7 +55,11 @@
 
 impl ConnectionImage {
     /// Returns the steps to carry out before a statement of a session with these values can run.
-    pub fn plan(&self, values: &SessionValues, prepared: Option<&PreparedShape>) -> ReplaySteps {
+    pub fn plan(
+        &self,
+        values: &SessionValues,
+        prepared: Option<&PreparedDefinition>,
+    ) -> ReplaySteps {
         let mut steps = ReplaySteps::new();
         if self.in_transaction {
             steps.push(ReplayStep::Rollback);
@@ -80,7 +84,7 @@
     }
 
     /// Returns the number of steps of a plan without allocating it in the usual cases.
-    pub fn cost(&self, values: &SessionValues, prepared: Option<&PreparedShape>) -> usize {
+    pub fn cost(&self, values: &SessionValues, prepared: Option<&PreparedDefinition>) -> usize {
         // Nearly all sessions set no values, and most statements aren't prepared.
         let plain = self.values.is_empty() && values.is_empty() && !self.in_transaction;
         if plain && prepared.is_none_or(|shape| self.prepared.contains(shape)) {
@@ -110,7 +114,7 @@
     }
 
     /// Records that the endpoint doesn't know a statement that was prepared.
-    pub fn forget_prepared(&mut self, shape: &PreparedShape) {
+    pub fn forget_prepared(&mut self, shape: &PreparedDefinition) {
         self.prepared.remove(shape);
     }
 
--- a/crates/policy/tests/account_limits.rs
+++ b/crates/policy/tests/account_limits.rs
@@ -11,7 +11,7 @@
 use ragwort_types::AccountGrant;
 use ragwort_types::AccountLimit;
 use ragwort_types::AccountName;
-use ragwort_types::AccountNeed;
+use ragwort_types::AccountShareRequest;
 use ragwort_types::GroupName;
 use ragwort_types::PlacementEpoch;
 use ragwort_types::VmName;
@@ -52,7 +52,7 @@
     returns: ClockTime,
     keeper: usize,
     declares: bool,
-    needs: Vec<AccountNeed>,
+    needs: Vec<AccountShareRequest>,
     grants: Option<Vec<AccountGrant>>,
     received: bool,
 }
@@ -199,7 +199,7 @@
         if vm.call.is_some() {
             return;
         }
-        let mut needs = vm.shares.due_needs(now, |_| true);
+        let mut needs = vm.shares.due_share_requests(now, |_| true);
         let declares = vm.declared_to != vm.keeper;
         if declares && needs.is_empty() {
             needs = vm.shares.list_held(now, |_| true);
--- a/crates/policy/tests/replay.rs
+++ b/crates/policy/tests/replay.rs
@@ -3,7 +3,7 @@
 use ragwort_policy::ConnectionImage;
 use ragwort_policy::ReplayStep;
 use ragwort_types::AccessMode;
-use ragwort_types::PreparedShape;
+use ragwort_types::PreparedDefinition;
 use ragwort_types::SessionValues;
 
 macro_rules! replay_cases {
@@ -21,8 +21,8 @@
         .collect()
 }
 
-fn shape(text: &str) -> PreparedShape {
-    PreparedShape {
+fn shape(text: &str) -> PreparedDefinition {
+    PreparedDefinition {
         access: AccessMode::Read,
         shape: text.to_owned(),
     }
@@ -36,7 +36,7 @@
 }
 
 /// Returns a connection on which a session with these values and statements has run.
-fn used(pairs: &[(&str, &str)], shapes: &[PreparedShape]) -> ConnectionImage {
+fn used(pairs: &[(&str, &str)], shapes: &[PreparedDefinition]) -> ConnectionImage {
     let mut image = ConnectionImage::default();
     for (name, value) in pairs {
         image.note_done(&set(name, value));
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -30,17 +30,17 @@
 use ragwort_types::ContractDocument;
 use ragwort_types::ControlIdentity;
 use ragwort_types::CustomerName;
-use ragwort_types::DocumentReading;
+use ragwort_types::DocumentReadReply;
 use ragwort_types::DocumentReply;
 use ragwort_types::EndpointAnnouncement;
 use ragwort_types::FenceReply;
-use ragwort_types::ForceStatus;
 use ragwort_types::FormReply;
 use ragwort_types::GroupName;
 use ragwort_types::GroupTerm;
 use ragwort_types::HeartbeatBatch;
 use ragwort_types::HeartbeatReply;
 use ragwort_types::HeartbeatRequest;
+use ragwort_types::InForceStatus;
 use ragwort_types::InstanceIdentity;
 use ragwort_types::InstanceStatus;
 use ragwort_types::JournalAppend;
@@ -111,7 +111,10 @@
 
     /// Returns the propagation state of an accepted change, if this VM is the control leader.
     #[method(name = "leaderForce")]
-    async fn leader_force(&self, acceptance: ContractAcceptance) -> RpcResult<Option<ForceStatus>>;
+    async fn leader_in_force_status(
+        &self,
+        acceptance: ContractAcceptance,
+    ) -> RpcResult<Option<InForceStatus>>;
 
     /// Returns the identity of this VM's control state, if it is a control VM. It is used to form the
     /// first voter set.
@@ -120,7 +123,7 @@
 
     /// Returns the newest document, if this VM is the control leader.
     #[method(name = "leaderDocument")]
-    async fn leader_document(&self) -> RpcResult<DocumentReading>;
+    async fn leader_document(&self) -> RpcResult<DocumentReadReply>;
 
     /// Writes the first voter set to the log; returns false if the log is not empty.
     #[method(name = "formVoters")]
@@ -161,11 +164,11 @@
 
     /// Returns the newest configuration document, as confirmed by a majority of the control VMs.
     #[method(name = "readDocument")]
-    async fn read_document(&self) -> RpcResult<DocumentReading>;
+    async fn read_document(&self) -> RpcResult<DocumentReadReply>;
 
     /// Returns the propagation state of an accepted change.
     #[method(name = "forceStatus")]
-    async fn force_status(&self, acceptance: ContractAcceptance) -> RpcResult<ForceStatus>;
+    async fn in_force_status(&self, acceptance: ContractAcceptance) -> RpcResult<InForceStatus>;
 
     /// Returns a customer's contract as it is in force on this VM.
     #[method(name = "getContract")]
--- a/crates/rpc/tests/frames.rs
+++ b/crates/rpc/tests/frames.rs
@@ -12,14 +12,14 @@
 use ragwort_types::InstanceName;
 use ragwort_types::LogPosition;
 use ragwort_types::RefusalCause;
-use ragwort_types::RequestMarks;
+use ragwort_types::RequestOptions;
 use ragwort_types::RequestVerdict;
 use ragwort_types::ServedBy;
 use ragwort_types::SessionContext;
 use ragwort_types::SessionValues;
-use ragwort_types::StatementAct;
 use ragwort_types::StatementAnswer;
 use ragwort_types::StatementId;
+use ragwort_types::StatementOperation;
 use ragwort_types::StatementReply;
 use ragwort_types::StatementRequest;
 use ragwort_types::TaggedRows;
@@ -33,7 +33,7 @@
         customer: "omuti".into(),
         session: "s-1".into(),
         group: "cases".into(),
-        marks: RequestMarks::default(),
+        marks: RequestOptions::default(),
         text,
         parameters: None,
         step,
@@ -43,7 +43,7 @@
         proof: None,
         context: Some(Box::new(SessionContext {
             caller_id: "5c0e7a21d94b36f8".into(),
-            act: StatementAct::Text(AccessMode::Write),
+            act: StatementOperation::Text(AccessMode::Write),
             opens: Some(TransactionMode::ReadWrite),
             values: SessionValues::from([("zone".into(), "north".into())]),
             last_write: Some(LogPosition::new(GroupTerm(3), 1_207)),
--- a/crates/rpc/tests/pieces.rs
+++ b/crates/rpc/tests/pieces.rs
@@ -9,7 +9,7 @@
 use ragwort_types::CatalogKey;
 use ragwort_types::CatalogPiece;
 use ragwort_types::CatalogRevision;
-use ragwort_types::DigestSeal;
+use ragwort_types::DigestSecret;
 use ragwort_types::GroupPlacement;
 use ragwort_types::GroupRecord;
 use ragwort_types::GroupTerm;
@@ -65,7 +65,7 @@
 fn account(number: u8) -> CatalogItem {
     CatalogItem::Account(Box::new(AccountTerms {
         name: format!("account-{number}").into(),
-        seal: DigestSeal([9; 16]),
+        seal: DigestSecret([9; 16]),
         keys: [KeyDigest([number; 16])].into_iter().collect(),
         limit: None,
     }))
--- a/crates/types/src/account.rs
+++ b/crates/types/src/account.rs
@@ -95,7 +95,7 @@
 /// The callers that a contract admits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum CallerRule {
+pub enum CallerAdmission {
     /// All callers; one that presents an account's key uses that account.
     #[default]
     Anyone,
@@ -103,7 +103,7 @@
     KeyHolders,
 }
 
-impl CallerRule {
+impl CallerAdmission {
     /// Returns whether all callers are admitted.
     pub fn is_open(&self) -> bool {
         *self == Self::Anyone
@@ -127,7 +127,7 @@
     }
 
     /// Creates a share from a fraction, clamped to the range from 0 to 1 and rounded down.
-    pub fn of_fraction(fraction: f64) -> Self {
+    pub fn from_fraction(fraction: f64) -> Self {
         Self((fraction.clamp(0.0, 1.0) * f64::from(Self::WHOLE.0)) as u32)
     }
 }
@@ -142,12 +142,12 @@
     /// The groups to whose leaseholder this request declares all shares that the process holds.
     pub declared: Vec<GroupName>,
     /// One entry for each account.
-    pub accounts: Vec<AccountNeed>,
+    pub accounts: Vec<AccountShareRequest>,
 }
 
 /// A VM's current share of one account's limit, and its demand.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AccountNeed {
+pub struct AccountShareRequest {
     /// The account.
     pub account: AccountName,
     /// The share of the rate that the VM holds at present.
@@ -183,7 +183,7 @@
 /// precomputed table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct DigestSeal(pub [u8; 16]);
+pub struct DigestSecret(pub [u8; 16]);
 
 /// The keyed hash of an account key; VMs store it instead of the key.
 #[derive(
@@ -198,7 +198,7 @@
     /// The account's name.
     pub name: AccountName,
     /// The secret under which its keys are hashed; all accounts have the same one.
-    pub seal: DigestSeal,
+    pub seal: DigestSecret,
     /// The digests of its keys.
     pub keys: SmallVec<[KeyDigest; 2]>,
     /// Its rate limit; `None` means unlimited.
--- a/crates/types/src/catalog.rs
+++ b/crates/types/src/catalog.rs
@@ -55,9 +55,9 @@
     /// Issues a fencing token for a promotion, where the database platform keeps its own terms.
     IssueToken(TokenRequest),
     /// Records the endpoints that a leaseholder knows, for its successor.
-    RecordEndpoints(Box<EndpointNotes>),
+    RecordEndpoints(Box<RecordedEndpoints>),
     /// Records that a leaseholder's standbys hold its whole journal; it dispatches nothing before.
-    ConfirmJournal(JournalMark),
+    ConfirmJournal(JournalConfirmation),
 }
 
 /// Identifies one process of a VM, so that a restarted daemon isn't mistaken for its predecessor.
@@ -114,7 +114,7 @@
     /// In all other cases the lease of `former` may still be valid, and two processes could serve
     /// one group. If both bind the same address exclusively, the later process proves that the
     /// former one has ended.
-    pub fn succeeds_at_once(&self, former: &MemberRecord) -> bool {
+    pub fn can_replace_immediately(&self, former: &MemberRecord) -> bool {
         let exclusive = self.traits.exclusive && former.traits.exclusive;
         let same_place = self.id.vm == former.id.vm && self.peer_address == former.peer_address;
         exclusive && same_place && self.id.incarnation > former.id.incarnation
@@ -197,7 +197,7 @@
 /// The endpoints that a leaseholder knows for its group, where the database platform keeps its own
 /// terms.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndpointNotes {
+pub struct RecordedEndpoints {
     /// The group.
     pub group: GroupName,
     /// The leaseholder's epoch.
@@ -212,7 +212,7 @@
 
 /// Identifies an epoch in which every standby holds the group's whole journal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct JournalMark {
+pub struct JournalConfirmation {
     /// The group.
     pub group: GroupName,
     /// The leaseholder's epoch.
--- a/crates/types/src/contract.rs
+++ b/crates/types/src/contract.rs
@@ -1,6 +1,6 @@
 //! A customer's contract: the kinds of request it may send, and its limits.
 
-use crate::CallerRule;
+use crate::CallerAdmission;
 use crate::ContractVersion;
 use crate::CustomerName;
 use crate::GroupName;
@@ -14,7 +14,7 @@
 ///
 /// Request keys are remembered for ten minutes; a request with a longer deadline could outlive its
 /// key and run twice.
-pub const LONGEST_DEADLINE_MS: u64 = 600_000;
+pub const MAX_DEADLINE_MS: u64 = 600_000;
 
 /// The contract of one customer: its groups, kinds of request and limits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -38,8 +38,8 @@
     /// The maximum number of sessions that may be open at once, per gateway.
     pub session_limit: u32,
     /// The callers that are admitted.
-    #[serde(default, skip_serializing_if = "CallerRule::is_open")]
-    pub callers: CallerRule,
+    #[serde(default, skip_serializing_if = "CallerAdmission::is_open")]
+    pub callers: CallerAdmission,
 }
 
 /// The contract's terms for one kind of request.
@@ -126,7 +126,7 @@
     DefaultKind,
     /// The limit of this name is zero.
     ZeroLimit(&'static str),
-    /// A kind's deadline is zero or longer than [`LONGEST_DEADLINE_MS`].
+    /// A kind's deadline is zero or longer than [`MAX_DEADLINE_MS`].
     Deadline(KindName),
     /// A kind that writes allows stale data.
     AgedWrite(KindName),
@@ -147,7 +147,7 @@
             Self::ZeroLimit(name) => write!(formatter, "{name}: expected a number above zero"),
             Self::Deadline(kind) => write!(
                 formatter,
-                "kinds.{kind}.deadline_ms: expected a number from 1 to {LONGEST_DEADLINE_MS}",
+                "kinds.{kind}.deadline_ms: expected a number from 1 to {MAX_DEADLINE_MS}",
             ),
             Self::AgedWrite(kind) => write!(
                 formatter,
@@ -191,7 +191,7 @@
             }
         }
         for (kind, terms) in &self.kinds {
-            if terms.deadline_ms == 0 || terms.deadline_ms > LONGEST_DEADLINE_MS {
+            if terms.deadline_ms == 0 || terms.deadline_ms > MAX_DEADLINE_MS {
                 faults.push(ContractFault::Deadline(kind.clone()));
             }
             if terms.access == AccessMode::Write && terms.max_age_ms > 0 {
--- a/crates/types/src/document.rs
+++ b/crates/types/src/document.rs
@@ -10,7 +10,7 @@
 use crate::ClientAccount;
 use crate::CustomerContract;
 use crate::CustomerName;
-use crate::DigestSeal;
+use crate::DigestSecret;
 use crate::GroupName;
 use serde::Deserialize;
 use serde::Serialize;
@@ -85,7 +85,7 @@
     /// The secret under which account keys are hashed. The VM that receives a document generates one;
     /// only that of the first document with accounts is used.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub seal: Option<DigestSeal>,
+    pub seal: Option<DigestSecret>,
 }
 
 /// The configuration of one database group.
@@ -216,7 +216,7 @@
 
 /// The reply to a request to read the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum DocumentReading {
+pub enum DocumentReadReply {
     /// The newest document, as confirmed by a majority of the control VMs.
     Newest(DocumentCopy),
     /// No document was ever accepted.
--- a/crates/types/src/messages.rs
+++ b/crates/types/src/messages.rs
@@ -47,8 +47,12 @@
     #[serde(rename = "g")]
     pub group: GroupName,
     /// The caller's options for the statement.
-    #[serde(rename = "m", default, skip_serializing_if = "RequestMarks::is_empty")]
-    pub marks: RequestMarks,
+    #[serde(
+        rename = "m",
+        default,
+        skip_serializing_if = "RequestOptions::is_empty"
+    )]
+    pub marks: RequestOptions,
     /// The statement's text.
     #[serde(rename = "t")]
     pub text: String,
@@ -83,7 +87,7 @@
 
 /// A caller's options for one statement.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RequestMarks {
+pub struct RequestOptions {
     /// The kind; `None` means the contract's default kind.
     #[serde(rename = "k", default, skip_serializing_if = "Option::is_none")]
     pub kind: Option<KindName>,
@@ -101,7 +105,7 @@
     pub max_age_ms: Option<u64>,
 }
 
-impl RequestMarks {
+impl RequestOptions {
     /// Returns whether no option is set.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
@@ -227,7 +231,7 @@
 
 /// The propagation state of a contract change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ForceStatus {
+pub struct InForceStatus {
     /// The acceptance that the status is for.
     pub acceptance: ContractAcceptance,
     /// Whether every member with a live lease has confirmed the revision.
--- a/crates/types/src/session.rs
+++ b/crates/types/src/session.rs
@@ -22,7 +22,7 @@
     pub caller_id: String,
     /// The operation that the statement performs.
     #[serde(rename = "a")]
-    pub act: StatementAct,
+    pub act: StatementOperation,
     /// The mode of the transaction to open before the statement, if one is to be opened.
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
     pub opens: Option<TransactionMode>,
@@ -41,13 +41,13 @@
 
 /// The operation that a statement performs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum StatementAct {
+pub enum StatementOperation {
     /// Reads or writes; the statement's text is sent to the endpoint unchanged.
     #[serde(rename = "t")]
     Text(AccessMode),
     /// Runs a prepared statement; the statement's text contains the arguments.
     #[serde(rename = "p")]
-    Prepared(PreparedShape),
+    Prepared(PreparedDefinition),
     /// Commits the statement's transaction.
     #[serde(rename = "c")]
     Commit,
@@ -56,7 +56,7 @@
     Rollback,
 }
 
-impl StatementAct {
+impl StatementOperation {
     /// Returns the statement's access mode; a commit or rollback counts as a write.
     pub fn access(&self) -> AccessMode {
         match self {
@@ -70,7 +70,7 @@
 /// The definition of a prepared statement. Unlike the statement's name, which belongs to one
 /// session, it is equal for all sessions that prepare the same statement.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct PreparedShape {
+pub struct PreparedDefinition {
     /// Whether it reads or writes.
     pub access: AccessMode,
     /// The definition, in the database's own syntax.
@@ -90,14 +90,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointFault {
     /// The class of the fault.
-    pub sort: FaultSort,
+    pub sort: EndpointFaultKind,
     /// The endpoint's message.
     pub text: String,
 }
 
 /// The class of a fault that an endpoint reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum FaultSort {
+pub enum EndpointFaultKind {
     /// All the endpoint's slots are in use and its queue is full; nothing ran.
     Busy,
     /// The endpoint has not reached the log position that the statement must read; nothing ran.
@@ -122,7 +122,7 @@
     Other,
 }
 
-impl FaultSort {
+impl EndpointFaultKind {
     /// Returns whether the fault guarantees that the statement has no effect.
     pub fn has_not_run(self) -> bool {
         match self {
--- a/crates/types/tests/statement_size.rs
+++ b/crates/types/tests/statement_size.rs
@@ -3,14 +3,14 @@
 use ragwort_types::AccessMode;
 use ragwort_types::GroupTerm;
 use ragwort_types::LogPosition;
-use ragwort_types::RequestMarks;
+use ragwort_types::RequestOptions;
 use ragwort_types::RequestVerdict;
 use ragwort_types::ServedBy;
 use ragwort_types::SessionContext;
 use ragwort_types::SessionValues;
-use ragwort_types::StatementAct;
 use ragwort_types::StatementAnswer;
 use ragwort_types::StatementId;
+use ragwort_types::StatementOperation;
 use ragwort_types::StatementReply;
 use ragwort_types::StatementRequest;
 use ragwort_types::TaggedRows;
@@ -29,10 +29,10 @@
         customer: "daye712".into(),
         session: "18351db4f024".into(),
         group: "cufi63a".into(),
-        marks: RequestMarks {
+        marks: RequestOptions {
             kind: Some("read".into()),
             deadline_ms: Some(1_500),
-            ..RequestMarks::default()
+            ..RequestOptions::default()
         },
         text: String::new(),
         parameters: None,
@@ -43,7 +43,7 @@
         proof: None,
         context: Some(Box::new(SessionContext {
             caller_id: "18351db4f02480e1".to_owned(),
-            act: StatementAct::Text(AccessMode::Read),
+            act: StatementOperation::Text(AccessMode::Read),
             opens: None,
             values: SessionValues::new(),
             last_write,
