--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -21,8 +21,8 @@
 use log::Level;
 use ragwort_control::CatalogCopy;
 use ragwort_control::ClockTime;
-use ragwort_policy::DetourPauses;
 use ragwort_policy::IsolationWatch;
+use ragwort_policy::RelayBackoff;
 use ragwort_rpc::PeerApiClient;
 use ragwort_types::AccessMode;
 use ragwort_types::CustomerContract;
@@ -86,9 +86,8 @@
     outages: Mutex<HashMap<GroupName, ClockTime>>,
     /// Attempts to reach other gateways while this one has no lease.
     isolation: Mutex<IsolationWatch>,
-    /// The groups whose leaseholder other gateways couldn't reach either, with the pause before the
-    /// next attempt.
-    relay_pauses: Mutex<DetourPauses>,
+    /// The backoff for groups whose leaseholder other gateways couldn't reach either.
+    relay_backoff: Mutex<RelayBackoff>,
 }
 
 /// The links from a gateway to other VMs.
@@ -178,7 +177,7 @@
             lease,
             outages: Mutex::default(),
             isolation: Mutex::default(),
-            relay_pauses: Mutex::default(),
+            relay_backoff: Mutex::default(),
         }
     }
 
@@ -471,7 +470,7 @@
         if !self.isolation().may_try(now) {
             return HandOver::NotAccepted(RefusalCause::NoLease);
         }
-        if !self.relay_pauses().may_try(now, &request.group) {
+        if !self.relay_backoff().may_try(now, &request.group) {
             return HandOver::NotAccepted(RefusalCause::NoLeaseholder);
         }
         let mut reached = false;
@@ -498,10 +497,10 @@
         let now = self.clock.now();
         if reached {
             self.isolation().note_reached();
-            self.relay_pauses().note_vain(now, group);
+            self.relay_backoff().note_failed_attempt(now, group);
             return HandOver::NotAccepted(RefusalCause::NoLeaseholder);
         }
-        self.isolation().note_vain(now);
+        self.isolation().note_failed_attempt(now);
         HandOver::NotAccepted(RefusalCause::NoLease)
     }
 
@@ -525,8 +524,8 @@
             .expect("no holder of this lock panics")
     }
 
-    fn relay_pauses(&self) -> MutexGuard<'_, DetourPauses> {
-        self.relay_pauses
+    fn relay_backoff(&self) -> MutexGuard<'_, RelayBackoff> {
+        self.relay_backoff
             .lock()
             .expect("no holder of this lock panics")
     }
--- a/crates/daemon/src/group/outcomes.rs
+++ b/crates/daemon/src/group/outcomes.rs
@@ -80,7 +80,8 @@
             return;
         }
         if connection.awaiting_ping {
-            self.scheduler.doubt_ended(&connection.instance);
+            self.scheduler
+                .connection_validation_ended(&connection.instance);
         }
         if connection.open {
             self.scheduler.connection_closed(&connection.instance);
@@ -145,7 +146,7 @@
             && std::mem::take(&mut connection.awaiting_ping)
         {
             let instance = connection.instance.clone();
-            self.scheduler.doubt_ended(&instance);
+            self.scheduler.connection_validation_ended(&instance);
         }
     }
 
@@ -153,7 +154,7 @@
     /// answered.
     pub(super) fn ping_idle_connections(&mut self, instance: &InstanceName) {
         for _ in 0..self.pool.ping_idle(instance) {
-            self.scheduler.connection_doubted(instance);
+            self.scheduler.connection_validation_started(instance);
         }
     }
 
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -14,12 +14,12 @@
 use ragwort_control::CatalogCopy;
 use ragwort_control::ClockTime;
 use ragwort_control::digest_text;
-use ragwort_policy::LedgerBook;
-use ragwort_policy::LedgerQuestion;
+use ragwort_policy::LedgerRequest;
+use ragwort_policy::LedgerTable;
 use ragwort_policy::LimitShares;
 use ragwort_policy::LimitTolerance;
 use ragwort_policy::TakeDecision;
-use ragwort_policy::WaitersEnd;
+use ragwort_policy::WaitersOutcome;
 use ragwort_rpc::PeerApiClient;
 use ragwort_types::AccountGrant;
 use ragwort_types::AccountLimit;
@@ -77,7 +77,7 @@
 #[derive(Default)]
 struct LimiterState {
     shares: LimitShares,
-    book: LedgerBook,
+    ledgers: LedgerTable,
     waiting: HashMap<AccountName, VecDeque<oneshot::Sender<bool>>>,
     /// The leaseholders to which this VM has declared its shares of the accounts whose ledgers they
     /// keep.
@@ -123,7 +123,7 @@
     ) -> Self {
         let state = LimiterState {
             shares: LimitShares::new(clock.now()),
-            book: LedgerBook::new(tolerance),
+            ledgers: LedgerTable::new(tolerance),
             ..LimiterState::default()
         };
         Self {
@@ -154,7 +154,7 @@
         let answer = {
             let mut state = self.state();
             match state.shares.take(self.clock.now(), account, limit) {
-                TakeDecision::Taken => return Ok(()),
+                TakeDecision::Admitted => return Ok(()),
                 TakeDecision::Waits => {
                     let (sender, answer) = oneshot::channel();
                     let waiting = state.waiting.entry(account.clone()).or_default();
@@ -184,7 +184,7 @@
     fn refuse(&self, account: &AccountName, limit: AccountLimit) -> Refusal {
         let mut state = self.state();
         let (share, runs) = state.shares.describe(self.clock.now(), account);
-        let come_back_after_ms = state.shares.return_after(limit);
+        let come_back_after_ms = state.shares.retry_after_ms(limit);
         drop(state);
         log_event!(
             Level::Info,
@@ -211,8 +211,10 @@
             return LimitReply::default();
         }
         let mut state = self.state();
-        state.book.follow_homes(now, &self.list_led(&view.copy));
-        lend_from(&mut state.book, now, &view.copy, request)
+        state
+            .ledgers
+            .set_led_groups(now, &self.list_led(&view.copy));
+        lend_from(&mut state.ledgers, now, &view.copy, request)
     }
 
     fn list_led(&self, copy: &CatalogCopy) -> BTreeMap<GroupName, PlacementEpoch> {
@@ -263,7 +265,7 @@
         let without_keeper = self.add_due_requests(&mut state, now, &locator, &mut requests);
         self.declare_held(&mut state, now, &locator, &mut requests);
         for account in without_keeper {
-            let end = state.shares.give_up(now, &account);
+            let end = state.shares.note_unanswered(now, &account);
             state.resolve_waiting(now, &account, end);
         }
         for (vm, request) in requests {
@@ -353,8 +355,8 @@
         if call.vm == self.id.vm {
             call.reply = view.may_serve(now).then(|| {
                 let led = self.list_led(&view.copy);
-                state.book.follow_homes(now, &led);
-                lend_from(&mut state.book, now, &view.copy, &call.request)
+                state.ledgers.set_led_groups(now, &led);
+                lend_from(&mut state.ledgers, now, &view.copy, &call.request)
             });
             return state.apply_reply(now, call);
         }
@@ -426,21 +428,21 @@
         for AccountShareRequest { account, .. } in &request.accounts {
             let end = match grants.get(account) {
                 Some(grant) => self.shares.take_grant(now, sent, grant),
-                None => self.shares.give_up(now, account),
+                None => self.shares.note_unanswered(now, account),
             };
             self.resolve_waiting(now, account, end);
         }
     }
 
-    fn resolve_waiting(&mut self, now: ClockTime, account: &AccountName, end: WaitersEnd) {
+    fn resolve_waiting(&mut self, now: ClockTime, account: &AccountName, end: WaitersOutcome) {
         let Some(waiting) = self.waiting.get_mut(account) else {
             return;
         };
-        for turn in 0..end.begun + end.refused {
+        for turn in 0..end.admitted + end.refused {
             let Some(waiter) = waiting.pop_front() else {
                 break;
             };
-            let begins = turn < end.begun;
+            let begins = turn < end.admitted;
             if waiter.send(begins).is_err() && begins {
                 self.shares.give_back(now, account);
             }
@@ -452,7 +454,7 @@
 }
 
 fn lend_from(
-    book: &mut LedgerBook,
+    ledgers: &mut LedgerTable,
     now: ClockTime,
     copy: &CatalogCopy,
     request: &LimitRequest,
@@ -462,18 +464,19 @@
     let started = now.before(Duration::from_millis(request.age_ms));
     let lent = request.accounts.iter().filter_map(|need| {
         let limit = copy.accounts().get(&need.account)?.limit?;
-        let question = LedgerQuestion {
+        let ledger_request = LedgerRequest {
             holder: &request.holder.vm,
             started,
             home: locator.find(&need.account)?,
             limit,
             holders: &holders,
         };
-        book.lend(now, question, need)
+        ledgers.lend(now, ledger_request, need)
     });
     let grants = lent.collect();
     let declared = request.declared.iter();
-    let declared = declared.filter(|group| book.note_declared(group, &request.holder.vm, started));
+    let declared =
+        declared.filter(|group| ledgers.note_declared(group, &request.holder.vm, started));
     LimitReply {
         grants,
         declared: declared.cloned().collect(),
--- a/crates/daemon/src/native/dispatch.rs
+++ b/crates/daemon/src/native/dispatch.rs
@@ -19,11 +19,11 @@
 use ragwort_policy::DispatchOrder;
 use ragwort_policy::FinishDecision;
 use ragwort_policy::FinishOutcome;
-use ragwort_policy::MissChoice;
+use ragwort_policy::PoolMissAction;
 use ragwort_policy::ReplayStep;
 use ragwort_policy::RequestTicket;
 use ragwort_policy::SchedulerDecision;
-use ragwort_policy::choose_on_miss;
+use ragwort_policy::choose_pool_miss_action;
 use ragwort_types::AccessMode;
 use ragwort_types::AccountName;
 use ragwort_types::DoubtCause;
@@ -168,12 +168,12 @@
         let own = u32::try_from(held.len()).unwrap_or(u32::MAX);
         let left = self.context.descriptors.allowance().room();
         let room = room.min(own.saturating_add(left));
-        let choice = choose_on_miss(&held, connections, room)?;
-        match choice {
-            MissChoice::Replace(id) => {
+        let action = choose_pool_miss_action(&held, connections, room)?;
+        match action {
+            PoolMissAction::Replace(id) => {
                 self.pool.remove_connection(LinkId(id));
             }
-            MissChoice::Open => self.scheduler.connection_added(instance),
+            PoolMissAction::Open => self.scheduler.connection_added(instance),
         }
         let id = self.pool.open_connection(now, instance, account);
         let Some(id) = id else {
--- a/crates/daemon/src/native/outcomes.rs
+++ b/crates/daemon/src/native/outcomes.rs
@@ -136,7 +136,7 @@
         connection.image.clear();
         if std::mem::take(&mut connection.checking) {
             let instance = connection.instance.clone();
-            self.scheduler.doubt_ended(&instance);
+            self.scheduler.connection_validation_ended(&instance);
         }
         if !answered && let Some(connection) = self.pool.connection_mut(id) {
             connection.unusable = true;
@@ -171,7 +171,7 @@
             self.handle_lost(ticket, &instance, DoubtCause::EndpointLost);
         }
         if connection.checking {
-            self.scheduler.doubt_ended(&instance);
+            self.scheduler.connection_validation_ended(&instance);
         }
         if !connection.retired {
             match (connection.counted, connection.open) {
@@ -486,7 +486,7 @@
         for id in self.pool.links_of(instance) {
             let idle = self.pool.connection(id).is_some_and(|one| one.is_idle());
             if idle && self.send_liveness_check(id) {
-                self.scheduler.connection_doubted(instance);
+                self.scheduler.connection_validation_started(instance);
             }
         }
     }
--- a/crates/daemon/src/native/ticking.rs
+++ b/crates/daemon/src/native/ticking.rs
@@ -102,7 +102,7 @@
         if surplus && !kept {
             self.handle_closed(id, CloseCause::Released);
         } else if self.send_liveness_check(id) {
-            self.scheduler.connection_doubted(instance);
+            self.scheduler.connection_validation_started(instance);
         }
     }
 
--- a/crates/daemon/src/service.rs
+++ b/crates/daemon/src/service.rs
@@ -17,7 +17,7 @@
 use crate::sessions::SessionService;
 use async_trait::async_trait;
 use ragwort_policy::CustomerTerms;
-use ragwort_policy::FlightLimiter;
+use ragwort_policy::InFlightLimiter;
 use ragwort_types::AccountKey;
 use ragwort_types::CatalogRevision;
 use ragwort_types::CustomerContract;
@@ -69,7 +69,7 @@
 struct ServiceTables {
     sessions: HashMap<CustomerName, u32>,
     running: HashMap<StatementId, GroupName>,
-    flights: FlightLimiter,
+    in_flight_limiter: InFlightLimiter,
 }
 
 /// A cancel that waits to be sent to a leaseholder.
@@ -124,7 +124,9 @@
         let contract = &contract.contract;
         let kind = find_terms(contract, marks).ok_or(NO_CONTRACT)?;
         let terms = CustomerTerms::from(contract);
-        self.tables().flights.admit(group, &terms, kind.urgency)
+        self.tables()
+            .in_flight_limiter
+            .admit(group, &terms, kind.urgency)
     }
 }
 
@@ -287,7 +289,7 @@
         let reply = self.gateway.execute(request).await;
         let mut tables = self.tables();
         tables.running.remove(&id);
-        tables.flights.release(&group, &customer);
+        tables.in_flight_limiter.release(&group, &customer);
         reply
     }
 
@@ -311,7 +313,7 @@
             relay: false,
         };
         let reply = self.gateway.describe(request).await;
-        self.tables().flights.release(&group, &customer);
+        self.tables().in_flight_limiter.release(&group, &customer);
         match reply.outcome {
             ShapeOutcome::Known(shape) => DescribeReply::Shape(shape),
             ShapeOutcome::Failed(error) => DescribeReply::Failed(error),
--- a/crates/daemon/src/statements/links.rs
+++ b/crates/daemon/src/statements/links.rs
@@ -17,8 +17,8 @@
 use bytes::BytesMut;
 use log::Level;
 use ragwort_control::ClockTime;
+use ragwort_policy::LinkFailureDetector;
 use ragwort_policy::LinkStep;
-use ragwort_policy::LinkWatch;
 use ragwort_rpc::FrameCodec;
 use ragwort_rpc::StatementFrame;
 use ragwort_types::StatementReply;
@@ -190,7 +190,7 @@
     received: BytesMut,
     pending: BTreeMap<u64, PendingReply>,
     last_call: u64,
-    watch: LinkWatch,
+    detector: LinkFailureDetector,
     /// Whether the other side has announced its shutdown; no further calls are sent to it then.
     stopping: bool,
 }
@@ -308,11 +308,11 @@
             received: BytesMut::with_capacity(READ_BYTES),
             pending: BTreeMap::new(),
             last_call: 0,
-            watch: LinkWatch::new(self.clock.now()),
+            detector: LinkFailureDetector::new(self.clock.now()),
             stopping: false,
         };
         link.await_pong().await?;
-        link.watch.hear(self.clock.now());
+        link.detector.note_received(self.clock.now());
         Ok(link)
     }
 }
@@ -363,7 +363,7 @@
                     if !matches!(read, Ok(count) if count > 0) {
                         return LinkEnd::Broken;
                     }
-                    self.watch.hear(clock.now());
+                    self.detector.note_received(clock.now());
                     if !self.handle_frames() {
                         return LinkEnd::Malformed;
                     }
@@ -400,12 +400,12 @@
         let Some((_, oldest)) = self.pending.first_key_value() else {
             return Ok(None);
         };
-        match self.watch.judge(now, oldest.since) {
+        match self.detector.judge(now, oldest.since) {
             LinkStep::WaitUntil(moment) => Ok(Some(moment.since(now))),
-            LinkStep::Ask => {
+            LinkStep::Probe => {
                 // Encoding can't fail: the frame is far shorter than the length limit.
                 let _ = self.codec.encode(&StatementFrame::Ping, &mut self.unsent);
-                Ok(Some(ragwort_policy::ANSWER_TIME))
+                Ok(Some(ragwort_policy::LINK_PROBE_TIMEOUT))
             }
             LinkStep::GiveUp => Err(LinkEnd::Silent),
         }
--- a/crates/daemon/tests/pieces/statements.rs
+++ b/crates/daemon/tests/pieces/statements.rs
@@ -328,7 +328,7 @@
 async fn slow_case() {
     let leaseholder = TestLeaseholder::start().await;
     let links = links(LONG);
-    let waits = ragwort_policy::QUIET_TIME + ragwort_policy::ANSWER_TIME;
+    let waits = ragwort_policy::LINK_PROBE_AFTER + ragwort_policy::LINK_PROBE_TIMEOUT;
     let slow = call(&links, leaseholder.address, HANGS);
     let waited = tokio::time::timeout(waits * 3, slow).await;
     assert!(waited.is_err(), "the call ended without a reply");
--- a/crates/policy/src/account_connections.rs
+++ b/crates/policy/src/account_connections.rs
@@ -47,7 +47,7 @@
 
 /// The action for a statement whose account has no idle connection to the endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum MissChoice {
+pub enum PoolMissAction {
     /// Open another connection.
     Open,
     /// Close the idle connection with this id and open one in its place.
@@ -67,20 +67,20 @@
 ///
 /// assert_eq!(choose_on_miss(&[], 60, 60), Some(MissChoice::Open));
 /// ```
-pub fn choose_on_miss(
+pub fn choose_pool_miss_action(
     held: &[HeldConnection<'_>],
     connections: u32,
     room: u32,
-) -> Option<MissChoice> {
+) -> Option<PoolMissAction> {
     let count = u32::try_from(held.len()).unwrap_or(u32::MAX);
     let (part, whole) = KEPT_FRACTION;
     if count < room.min(connections * part / whole) {
-        return Some(MissChoice::Open);
+        return Some(PoolMissAction::Open);
     }
     let idle = held.iter().filter(|one| one.idle);
     match idle.min_by_key(|one| one.last_used) {
-        Some(oldest) => Some(MissChoice::Replace(oldest.id)),
-        None => (count < room.min(connection_budget(connections))).then_some(MissChoice::Open),
+        Some(oldest) => Some(PoolMissAction::Replace(oldest.id)),
+        None => (count < room.min(connection_budget(connections))).then_some(PoolMissAction::Open),
     }
 }
 
--- a/crates/policy/src/account_ledger.rs
+++ b/crates/policy/src/account_ledger.rs
@@ -126,17 +126,14 @@
 }
 
 impl LedgerHome {
-    fn learn_holders(&mut self, now: ClockTime, question: &LedgerQuestion<'_>) {
+    fn learn_holders(&mut self, now: ClockTime, request: &LedgerRequest<'_>) {
         if self.known.is_some() {
             return;
         }
-        let others = question
-            .holders
-            .iter()
-            .filter(|one| *one != question.holder);
+        let others = request.holders.iter().filter(|one| *one != request.holder);
         let starts: Option<Vec<ClockTime>> = others
             .map(|one| self.declared.get(one).copied())
-            .chain([Some(question.started)])
+            .chain([Some(request.started)])
             .collect();
         let Some(starts) = starts else {
             let known = KnownHolders {
@@ -160,7 +157,7 @@
 
 /// The circumstances of a VM's request to a ledger.
 #[derive(Clone, Copy, Debug)]
-pub struct LedgerQuestion<'a> {
+pub struct LedgerRequest<'a> {
     /// The requesting VM.
     pub holder: &'a VmName,
     /// When the process of the requesting VM started.
@@ -175,7 +172,7 @@
 
 /// The ledgers that one VM keeps.
 #[derive(Clone, Debug, Default)]
-pub struct LedgerBook {
+pub struct LedgerTable {
     homes: BTreeMap<GroupName, LedgerHome>,
     ledgers: BTreeMap<(GroupName, AccountName), AccountLedger>,
     tolerance: LimitTolerance,
@@ -217,8 +214,8 @@
     }
 }
 
-impl LedgerBook {
-    /// Creates a book without ledgers.
+impl LedgerTable {
+    /// Creates an empty table.
     pub fn new(tolerance: LimitTolerance) -> Self {
         Self {
             tolerance,
@@ -230,7 +227,7 @@
     ///
     /// A group whose epoch has advanced by one still belongs to this VM: another VM's term would
     /// have taken one step, and the way back another.
-    pub fn follow_homes(&mut self, now: ClockTime, led: &BTreeMap<GroupName, PlacementEpoch>) {
+    pub fn set_led_groups(&mut self, now: ClockTime, led: &BTreeMap<GroupName, PlacementEpoch>) {
         self.homes.retain(|group, home| {
             let epoch = led.get(group);
             epoch.is_some_and(|epoch| epoch.0 <= home.epoch.0 + 1)
@@ -270,17 +267,17 @@
     pub fn lend(
         &mut self,
         now: ClockTime,
-        question: LedgerQuestion<'_>,
+        request: LedgerRequest<'_>,
         need: &AccountShareRequest,
     ) -> Option<AccountGrant> {
-        let LedgerQuestion {
+        let LedgerRequest {
             holder,
             home,
             limit,
             ..
-        } = question;
+        } = request;
         let place = self.homes.get_mut(home)?;
-        place.learn_holders(now, &question);
+        place.learn_holders(now, &request);
         let known = place.known;
         let age = now.since(place.since);
         let ledger = self.ledgers.entry((home.clone(), need.account.clone()));
--- a/crates/policy/src/account_shares.rs
+++ b/crates/policy/src/account_shares.rs
@@ -55,16 +55,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TakeDecision {
     /// The operation may begin.
-    Taken,
+    Admitted,
     /// The ledger must be asked. Its answer decides how many of the waiting operations may begin.
     Waits,
 }
 
 /// What an answer, or its absence, means for the waiting operations in their order of arrival.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct WaitersEnd {
-    /// The number of operations that may begin.
-    pub begun: u32,
+pub struct WaitersOutcome {
+    /// The number of operations that are admitted.
+    pub admitted: u32,
     /// The number of operations after those that are refused.
     pub refused: u32,
 }
@@ -207,7 +207,7 @@
     }
 
     /// Admits an operation, or returns that the ledger must be asked. An operation that waits is
-    /// counted until [`take_grant`](Self::take_grant) or [`give_up`](Self::give_up).
+    /// counted until [`take_grant`](Self::take_grant) or [`note_unanswered`](Self::note_unanswered).
     pub fn take(
         &mut self,
         now: ClockTime,
@@ -229,7 +229,7 @@
         share.decay_demand(now);
         share.demand += 1.0 / DEMAND_TIME_CONSTANT.as_secs_f64();
         if share.waiting == 0 && share.take(now) {
-            return TakeDecision::Taken;
+            return TakeDecision::Admitted;
         }
         share.waiting += 1;
         TakeDecision::Waits
@@ -287,9 +287,9 @@
         now: ClockTime,
         sent: ClockTime,
         grant: &AccountGrant,
-    ) -> WaitersEnd {
+    ) -> WaitersOutcome {
         let Some(share) = self.accounts.get_mut(&grant.account) else {
-            return WaitersEnd::default();
+            return WaitersOutcome::default();
         };
         share.refill(now);
         share.share = grant.share;
@@ -304,9 +304,9 @@
 
     /// Records that an account's ledger didn't answer, and returns what that means for the waiting
     /// operations.
-    pub fn give_up(&mut self, now: ClockTime, account: &AccountName) -> WaitersEnd {
+    pub fn note_unanswered(&mut self, now: ClockTime, account: &AccountName) -> WaitersOutcome {
         let Some(share) = self.accounts.get_mut(account) else {
-            return WaitersEnd::default();
+            return WaitersOutcome::default();
         };
         // The previous process may have admitted as many just before it ended.
         let offline_allowance = match now.since(self.started) < OFFLINE_ALLOWANCE_WINDOW {
@@ -329,12 +329,12 @@
         let soon = share.limit.rate() * share.share.fraction() * SHARE_BUCKET_TIME.as_secs_f64();
         share.awaiting_answer = share.awaiting_answer.saturating_sub(soon as u32);
         let mut end = share.settle_waiting(now);
-        end.begun += spare;
+        end.admitted += spare;
         end
     }
 
     /// Returns when a refused caller of an account may retry, in milliseconds.
-    pub fn return_after(&mut self, limit: AccountLimit) -> u64 {
+    pub fn retry_after_ms(&mut self, limit: AccountLimit) -> u64 {
         self.refused += 1;
         let (shortest, longest) = RETRY_AFTER_RANGE_MILLIS;
         let turn = (1_000.0 / limit.rate().max(0.001)).min(longest as f64) as u64;
@@ -362,13 +362,13 @@
 
     /// Admits waiting operations as far as tokens allow. Of the others, those that waited for the
     /// answer are refused.
-    fn settle_waiting(&mut self, now: ClockTime) -> WaitersEnd {
-        let mut end = WaitersEnd::default();
-        while self.waiting > end.begun && self.take(now) {
-            end.begun += 1;
+    fn settle_waiting(&mut self, now: ClockTime) -> WaitersOutcome {
+        let mut end = WaitersOutcome::default();
+        while self.waiting > end.admitted && self.take(now) {
+            end.admitted += 1;
         }
-        end.refused = self.awaiting_answer.saturating_sub(end.begun);
-        self.waiting -= end.begun + end.refused;
+        end.refused = self.awaiting_answer.saturating_sub(end.admitted);
+        self.waiting -= end.admitted + end.refused;
         self.awaiting_answer = 0;
         self.request_in_flight = false;
         end
--- a/crates/policy/src/gateway_limit.rs
+++ b/crates/policy/src/gateway_limit.rs
@@ -65,7 +65,7 @@
 /// assert_eq!(limiter.in_flight(&group), 0);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct FlightLimiter {
+pub struct InFlightLimiter {
     groups: BTreeMap<GroupName, GroupFlight>,
     refused: u64,
 }
@@ -77,7 +77,7 @@
     customers: BTreeMap<CustomerName, u32>,
 }
 
-impl FlightLimiter {
+impl InFlightLimiter {
     /// Admits a request; [`release`](Self::release) must follow once it is answered.
     ///
     /// # Errors
--- a/crates/policy/src/isolation.rs
+++ b/crates/policy/src/isolation.rs
@@ -46,7 +46,7 @@
     }
 
     /// Records that no other gateway accepted a statement.
-    pub fn note_vain(&mut self, now: ClockTime) {
+    pub fn note_failed_attempt(&mut self, now: ClockTime) {
         let first = match self.failed {
             Some(failed) if now.since(failed.last) < RESULT_VALIDITY => failed.first,
             Some(_) | None => now,
@@ -77,14 +77,14 @@
 
 /// The groups whose leaseholder was reachable through no gateway that was tried.
 #[derive(Clone, Debug, Default)]
-pub struct DetourPauses {
+pub struct RelayBackoff {
     failed: BTreeMap<GroupName, ClockTime>,
 }
 
-impl DetourPauses {
+impl RelayBackoff {
     /// Records that another gateway was reached that has no route to the group's leaseholder
     /// either.
-    pub fn note_vain(&mut self, now: ClockTime, group: &GroupName) {
+    pub fn note_failed_attempt(&mut self, now: ClockTime, group: &GroupName) {
         self.failed.retain(|_, last| now.since(*last) < RETRY_PAUSE);
         self.failed.insert(group.clone(), now);
     }
--- a/crates/policy/src/link_watch.rs
+++ b/crates/policy/src/link_watch.rs
@@ -9,8 +9,8 @@
 //!
 //! # Approach
 //!
-//! A link with unanswered calls is probed when nothing at all was received for [`QUIET_TIME`], and
-//! given up when the probe isn't answered within [`ANSWER_TIME`]. Statements take 3 to 110 ms, one
+//! A link with unanswered calls is probed when nothing at all was received for [`LINK_PROBE_AFTER`], and
+//! given up when the probe isn't answered within [`LINK_PROBE_TIMEOUT`]. Statements take 3 to 110 ms, one
 //! way between failure domains 1.5 ms, so a link with unanswered calls is rarely quiet for that
 //! long. Giving up a working link leaves the outcome of the writes on it unknown; that is why it is
 //! probed first. The sum of both times stays under half of the lease after which the successor
@@ -20,10 +20,10 @@
 use std::time::Duration;
 
 /// How long a link with unanswered calls may be quiet before it is probed.
-pub const QUIET_TIME: Duration = Duration::from_millis(200);
+pub const LINK_PROBE_AFTER: Duration = Duration::from_millis(200);
 
 /// How long the answer to a probe may take.
-pub const ANSWER_TIME: Duration = Duration::from_millis(250);
+pub const LINK_PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// The next step for a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,20 +31,20 @@
     /// Do nothing before this time.
     WaitUntil(ClockTime),
     /// Send a probe.
-    Ask,
+    Probe,
     /// Treat the link as lost.
     GiveUp,
 }
 
-/// The times by which one link's silence is judged.
+/// The failure detector of one link.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct LinkWatch {
+pub struct LinkFailureDetector {
     last_received: ClockTime,
     probed_at: Option<ClockTime>,
 }
 
-impl LinkWatch {
-    /// Starts to watch a link that was opened at `now`.
+impl LinkFailureDetector {
+    /// Creates the detector of a link that was opened at `now`.
     pub fn new(now: ClockTime) -> Self {
         Self {
             last_received: now,
@@ -53,7 +53,7 @@
     }
 
     /// Records that anything was received.
-    pub fn hear(&mut self, now: ClockTime) {
+    pub fn note_received(&mut self, now: ClockTime) {
         self.last_received = now;
         self.probed_at = None;
     }
@@ -62,18 +62,18 @@
     /// `oldest_unanswered`.
     pub fn judge(&mut self, now: ClockTime, oldest_unanswered: ClockTime) -> LinkStep {
         if let Some(probed_at) = self.probed_at {
-            return match now.since(probed_at) >= ANSWER_TIME {
+            return match now.since(probed_at) >= LINK_PROBE_TIMEOUT {
                 true => LinkStep::GiveUp,
-                false => LinkStep::WaitUntil(probed_at + ANSWER_TIME),
+                false => LinkStep::WaitUntil(probed_at + LINK_PROBE_TIMEOUT),
             };
         }
         let quiet_since = self.last_received.max(oldest_unanswered);
-        if now.since(quiet_since) < QUIET_TIME {
-            return LinkStep::WaitUntil(quiet_since + QUIET_TIME);
+        if now.since(quiet_since) < LINK_PROBE_AFTER {
+            return LinkStep::WaitUntil(quiet_since + LINK_PROBE_AFTER);
         }
         // A process that was stopped itself finds a long silence when it resumes, so it sends a
         // probe first, too.
         self.probed_at = Some(now);
-        LinkStep::Ask
+        LinkStep::Probe
     }
 }
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -330,8 +330,8 @@
     /// When one connection has gone silent, a firewall or another device on the path may have
     /// dropped the state of all of them. A request sent on one of the others would wait for an
     /// answer that never comes, so a connection takes no requests until
-    /// [`doubt_ended`](Self::doubt_ended) is called.
-    pub fn connection_doubted(&mut self, instance: &InstanceName) {
+    /// [`connection_validation_ended`](Self::connection_validation_ended) is called.
+    pub fn connection_validation_started(&mut self, instance: &InstanceName) {
         if let Some(record) = self.endpoints.get_mut(instance) {
             record.validating = (record.validating + 1).min(record.open);
         }
@@ -339,7 +339,7 @@
 
     /// Records that a connection under validation has answered, or is about to be reported as
     /// closed.
-    pub fn doubt_ended(&mut self, instance: &InstanceName) {
+    pub fn connection_validation_ended(&mut self, instance: &InstanceName) {
         if let Some(record) = self.endpoints.get_mut(instance) {
             record.validating = record.validating.saturating_sub(1);
         }
--- a/crates/policy/tests/account_connections.rs
+++ b/crates/policy/tests/account_connections.rs
@@ -3,8 +3,8 @@
 use ragwort_policy::AccountDemand;
 use ragwort_policy::ClockTime;
 use ragwort_policy::HeldConnection;
-use ragwort_policy::MissChoice;
-use ragwort_policy::choose_on_miss;
+use ragwort_policy::PoolMissAction;
+use ragwort_policy::choose_pool_miss_action;
 use ragwort_types::AccountName;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -71,9 +71,9 @@
                 last_used: one.last_used,
             })
             .collect();
-        match choose_on_miss(&held, CONNECTIONS, self.room) {
-            Some(MissChoice::Open) => {}
-            Some(MissChoice::Replace(id)) => self.connections.retain(|one| one.id != id),
+        match choose_pool_miss_action(&held, CONNECTIONS, self.room) {
+            Some(PoolMissAction::Open) => {}
+            Some(PoolMissAction::Replace(id)) => self.connections.retain(|one| one.id != id),
             None => {
                 self.refused += 1;
                 return;
--- a/crates/policy/tests/account_limits.rs
+++ b/crates/policy/tests/account_limits.rs
@@ -2,12 +2,12 @@
 //! lost ledgers.
 
 use ragwort_policy::ClockTime;
-use ragwort_policy::LedgerBook;
-use ragwort_policy::LedgerQuestion;
+use ragwort_policy::LedgerRequest;
+use ragwort_policy::LedgerTable;
 use ragwort_policy::LimitShares;
 use ragwort_policy::LimitTolerance;
 use ragwort_policy::TakeDecision;
-use ragwort_policy::WaitersEnd;
+use ragwort_policy::WaitersOutcome;
 use ragwort_types::AccountGrant;
 use ragwort_types::AccountLimit;
 use ragwort_types::AccountName;
@@ -59,7 +59,7 @@
 
 struct SimulatedVm {
     shares: LimitShares,
-    book: LedgerBook,
+    ledgers: LedgerTable,
     /// The VM that it believes to keep the ledger, and the placement epoch.
     keeper: (usize, u64),
     declared_to: (usize, u64),
@@ -77,7 +77,7 @@
         shares.set_holders(tolerance(), VMS);
         Self {
             shares,
-            book: LedgerBook::new(tolerance()),
+            ledgers: LedgerTable::new(tolerance()),
             keeper: (0, 1),
             declared_to: (usize::MAX, 0),
             call: None,
@@ -161,7 +161,7 @@
         while expected > 0.0 {
             if self.random.random_bool(expected.min(1.0)) {
                 let vm = &mut self.vms[number];
-                if vm.shares.take(self.now, &account(), self.limit) == TakeDecision::Taken {
+                if vm.shares.take(self.now, &account(), self.limit) == TakeDecision::Admitted {
                     vm.begun += 1;
                     self.begins.push(self.now);
                 }
@@ -174,8 +174,8 @@
         let vm = &mut self.vms[number];
         let leads = self.keeper == Some(number);
         let led = leads.then(|| (home(), PlacementEpoch(self.epoch)));
-        vm.book
-            .follow_homes(self.now, &led.into_iter().collect::<BTreeMap<_, _>>());
+        vm.ledgers
+            .set_led_groups(self.now, &led.into_iter().collect::<BTreeMap<_, _>>());
         // The other VMs learn of a new keeper some time later.
         if let Some(keeper) = self.keeper
             && (leads || self.random.random_bool(0.05))
@@ -184,11 +184,11 @@
         }
     }
 
-    fn settle(&mut self, number: usize, end: WaitersEnd) {
+    fn settle(&mut self, number: usize, end: WaitersOutcome) {
         let vm = &mut self.vms[number];
-        vm.begun += end.begun;
+        vm.begun += end.admitted;
         vm.refused += end.refused;
-        for _ in 0..end.begun {
+        for _ in 0..end.admitted {
             self.begins.push(self.now);
         }
     }
@@ -234,20 +234,20 @@
             let holders = names();
             let holder = vm_name(number);
             let started = self.vms[number].started;
-            let book = &mut self.vms[keeper].book;
+            let ledgers = &mut self.vms[keeper].ledgers;
             let lent = call.needs.iter().filter_map(|need| {
-                let question = LedgerQuestion {
+                let request = LedgerRequest {
                     holder: &holder,
                     started,
                     home: &home(),
                     limit: self.limit,
                     holders: &holders,
                 };
-                book.lend(now, question, need)
+                ledgers.lend(now, request, need)
             });
             call.grants = Some(lent.collect());
             if call.declares {
-                book.note_declared(&home(), &holder, started);
+                ledgers.note_declared(&home(), &holder, started);
             }
         }
         let vm = &mut self.vms[number];
@@ -266,7 +266,7 @@
             let grant = grants.iter().find(|grant| grant.account == need.account);
             let end = match grant {
                 Some(grant) => shares.take_grant(now, call.sent, grant),
-                None => shares.give_up(now, &need.account),
+                None => shares.note_unanswered(now, &need.account),
             };
             self.settle(number, end);
         }
@@ -393,12 +393,12 @@
     /// declaration must be rejected: if it counted as done, the ledger would lend next to nothing
     /// for two seconds.
     early_declaration_is_rejected {
-        let mut book = LedgerBook::new(tolerance());
+        let mut ledgers = LedgerTable::new(tolerance());
         let now = ClockTime::from_millis(9_000);
-        assert!(!book.note_declared(&home(), &vm_name(1), now));
+        assert!(!ledgers.note_declared(&home(), &vm_name(1), now));
         let led = BTreeMap::from([(home(), PlacementEpoch(1))]);
-        book.follow_homes(now, &led);
-        assert!(book.note_declared(&home(), &vm_name(1), now));
+        ledgers.set_led_groups(now, &led);
+        assert!(ledgers.note_declared(&home(), &vm_name(1), now));
     }
 
     /// All processes are killed, and a second later all callers are back at once, with twice the
--- a/crates/policy/tests/connection_validation.rs
+++ b/crates/policy/tests/connection_validation.rs
@@ -105,7 +105,7 @@
 
     fn start_validations(&mut self) {
         for _ in 0..self.open {
-            self.scheduler.connection_doubted(&self.primary);
+            self.scheduler.connection_validation_started(&self.primary);
         }
     }
 
@@ -153,7 +153,7 @@
     bench.start_validations();
     bench.arrive();
     assert!(!is_dispatched(&bench.poll()));
-    bench.scheduler.doubt_ended(&bench.primary);
+    bench.scheduler.connection_validation_ended(&bench.primary);
     assert!(is_dispatched(&bench.poll()));
 }
 
--- a/crates/policy/tests/connections.rs
+++ b/crates/policy/tests/connections.rs
@@ -239,11 +239,11 @@
     for _ in 0..100 {
         let validating = load.opened;
         for _ in 0..validating {
-            load.scheduler.connection_doubted(&primary);
+            load.scheduler.connection_validation_started(&primary);
         }
         load.pass(Duration::from_millis(50), 0, Duration::from_secs(1));
         for _ in 0..validating {
-            load.scheduler.doubt_ended(&primary);
+            load.scheduler.connection_validation_ended(&primary);
         }
         load.close_surplus();
         load.pass(Duration::from_millis(150), 0, Duration::from_secs(1));
--- a/crates/policy/tests/isolated_sessions.rs
+++ b/crates/policy/tests/isolated_sessions.rs
@@ -52,7 +52,7 @@
                     served += 1;
                     break;
                 }
-                watches[gateway].note_vain(now);
+                watches[gateway].note_failed_attempt(now);
                 // Only an established session returns to the same gateway.
                 if assigned.is_none() {
                     continue;
--- a/crates/policy/tests/isolation.rs
+++ b/crates/policy/tests/isolation.rs
@@ -1,8 +1,8 @@
 //! Isolated gateways: how often others are tried, and when callers are refused.
 
 use ragwort_policy::ClockTime;
-use ragwort_policy::DetourPauses;
 use ragwort_policy::IsolationWatch;
+use ragwort_policy::RelayBackoff;
 use ragwort_types::GroupName;
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
         let now = at(statement / 2);
         if watch.may_try(now) {
             attempts += 1;
-            watch.note_vain(now);
+            watch.note_failed_attempt(now);
         }
     }
     assert_eq!(attempts, 15);
@@ -35,7 +35,7 @@
 #[test]
 fn gateway_that_reaches_another_keeps_its_callers() {
     let mut watch = IsolationWatch::default();
-    watch.note_vain(at(0));
+    watch.note_failed_attempt(at(0));
     assert!(watch.is_isolated(at(10)));
     assert!(watch.may_try(at(200)));
     watch.note_reached();
@@ -50,9 +50,9 @@
 #[test]
 fn old_attempts_are_no_evidence() {
     let mut watch = IsolationWatch::default();
-    watch.note_vain(at(0));
+    watch.note_failed_attempt(at(0));
     assert!(!watch.is_isolated(at(500)));
-    watch.note_vain(at(5_000));
+    watch.note_failed_attempt(at(5_000));
     assert!(watch.is_isolated(at(5_001)));
     assert!(!watch.is_isolated_for(at(5_001), NOTICE));
 }
@@ -62,14 +62,14 @@
 /// a second were refused, though another gateway would have forwarded them.
 #[test]
 fn group_without_a_leaseholder_holds_up_its_own_statements_only() {
-    let mut pauses = DetourPauses::default();
+    let mut backoff = RelayBackoff::default();
     let mut isolation = IsolationWatch::default();
     let (lost, led) = (GroupName::from("lost"), GroupName::from("led"));
     let now = ClockTime::from_millis(1_000);
-    pauses.note_vain(now, &lost);
+    backoff.note_failed_attempt(now, &lost);
     isolation.note_reached();
-    assert!(!pauses.may_try(now, &lost));
-    assert!(pauses.may_try(now, &led));
+    assert!(!backoff.may_try(now, &lost));
+    assert!(backoff.may_try(now, &led));
     assert!(isolation.may_try(now));
-    assert!(pauses.may_try(ClockTime::from_millis(1_200), &lost));
+    assert!(backoff.may_try(ClockTime::from_millis(1_200), &lost));
 }
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -14,8 +14,8 @@
 use ragwort_policy::CustomerTerms;
 use ragwort_policy::EndpointRole;
 use ragwort_policy::ExcessRule;
-use ragwort_policy::FlightLimiter;
 use ragwort_policy::GROUP_IN_FLIGHT_LIMIT;
+use ragwort_policy::InFlightLimiter;
 use ragwort_policy::RequestProfile;
 use ragwort_policy::RequestTicket;
 use ragwort_policy::SchedulerDecision;
@@ -81,7 +81,7 @@
         connection_limit: 8,
     });
     let group = GroupName::from("cases");
-    let mut limiter = FlightLimiter::default();
+    let mut limiter = InFlightLimiter::default();
     let mut refused = 0;
     for terms in &customers {
         for _ in 0..1_200 {
