--- a/crates/control/src/journal.rs
+++ b/crates/control/src/journal.rs
@@ -260,7 +260,7 @@
 
     /// Records a session's write. The write may be acknowledged once the entry with the returned
     /// number is replicated.
-    pub fn note_session(
+    pub fn record_session(
         &mut self,
         customer: &CustomerName,
         session: &SessionName,
--- a/crates/control/src/native_roles.rs
+++ b/crates/control/src/native_roles.rs
@@ -34,13 +34,13 @@
 
 /// The roles of a group's instances.
 #[derive(Clone, Debug, Default)]
-pub struct RoleBoard {
+pub struct InstanceRoles {
     instances: BTreeMap<InstanceName, InstanceClaim>,
     /// The highest term in which a primary was found.
     highest_term: GroupTerm,
 }
 
-impl RoleBoard {
+impl InstanceRoles {
     /// Creates the roles with the highest term in which a former leaseholder found a primary.
     ///
     /// A replaced primary that doesn't know of its replacement may be the first to answer a new
@@ -53,12 +53,12 @@
     }
 
     /// Adds an instance that a former leaseholder knew, so that it is asked for its role.
-    pub fn expect(&mut self, now: ClockTime, instance: &InstanceName, leaving: bool) {
-        self.hear(now, instance, InstanceRole::Primary, leaving);
+    pub fn add_expected(&mut self, now: ClockTime, instance: &InstanceName, leaving: bool) {
+        self.note_announcement(now, instance, InstanceRole::Primary, leaving);
     }
 
     /// Records an instance's announcement.
-    pub fn hear(
+    pub fn note_announcement(
         &mut self,
         now: ClockTime,
         instance: &InstanceName,
@@ -92,7 +92,7 @@
     }
 
     /// Records that an instance refused a write, and so is not the primary whatever it said before.
-    pub fn see_refused_write(&mut self, now: ClockTime, instance: &InstanceName) {
+    pub fn note_refused_write(&mut self, now: ClockTime, instance: &InstanceName) {
         if let Some(claim) = self.instances.get_mut(instance) {
             claim.role = InstanceRole::Replica;
             claim.updated_at = now;
--- a/crates/control/src/pace.rs
+++ b/crates/control/src/pace.rs
@@ -21,13 +21,13 @@
 
 /// The lease that a member requests.
 #[derive(Clone, Copy, Debug)]
-pub struct LeasePace {
+pub struct RequestedLease {
     heartbeat_interval: Duration,
     max_lease: Duration,
     requested: Duration,
 }
 
-impl LeasePace {
+impl RequestedLease {
     /// Starts with the length for a heartbeat interval; `max_lease` is its permanent upper limit.
     pub fn new(heartbeat_interval: Duration, max_lease: Duration) -> Self {
         Self {
@@ -46,7 +46,7 @@
     /// whether the length to request has grown.
     ///
     /// A time above the upper limit is ignored, because no lease could cover it.
-    pub fn note_round(&mut self, took: Duration) -> bool {
+    pub fn note_heartbeat_time(&mut self, took: Duration) -> bool {
         if took >= self.max_lease {
             return false;
         }
--- a/crates/control/src/placement.rs
+++ b/crates/control/src/placement.rs
@@ -94,7 +94,11 @@
 /// Plans handovers of groups whose endpoints are far from their leaseholder.
 ///
 /// `unused` means that the leaseholder has served nothing yet, so that a move pauses no caller.
-pub fn plan_approaches(copy: &CatalogCopy, vm: &VmName, unused: bool) -> Vec<GroupPlacement> {
+pub fn plan_moves_to_endpoints(
+    copy: &CatalogCopy,
+    vm: &VmName,
+    unused: bool,
+) -> Vec<GroupPlacement> {
     let Some(own) = copy.member(vm) else {
         return Vec::new();
     };
--- a/crates/control/src/primary_absence.rs
+++ b/crates/control/src/primary_absence.rs
@@ -16,7 +16,7 @@
 
 /// Time without a primary after which a new one is promoted. Endpoints announce themselves about
 /// once a second.
-pub const HEADLESS_TIME: Duration = Duration::from_millis(1_500);
+pub const MAX_PRIMARY_ABSENCE: Duration = Duration::from_millis(1_500);
 
 /// Announcements from each known endpoint before an unknown one is considered missing.
 const MIN_ANNOUNCEMENTS: u32 = 2;
@@ -27,17 +27,17 @@
     /// A primary was found among them, by this leaseholder or by a former one that recorded them.
     Known,
     /// Only by their announcements to this VM.
-    Heard,
+    Announced,
 }
 
 /// Tracks the time during which a group has no usable primary.
 #[derive(Clone, Debug, Default)]
-pub struct HeadlessWatch {
+pub struct PrimaryAbsence {
     since: Option<ClockTime>,
     announcements: SmallVec<[(InstanceName, u32); 3]>,
 }
 
-impl HeadlessWatch {
+impl PrimaryAbsence {
     /// Records that there is no primary; the time starts if there was one before.
     pub fn begin(&mut self, now: ClockTime) {
         if self.since.is_none() {
@@ -52,7 +52,7 @@
     }
 
     /// Records an endpoint's announcement.
-    pub fn hear(&mut self, instance: &InstanceName) {
+    pub fn count_announcement(&mut self, instance: &InstanceName) {
         match self
             .announcements
             .iter_mut()
@@ -77,13 +77,13 @@
     pub fn is_primary_missing(&self, now: ClockTime, knowledge: EndpointKnowledge) -> bool {
         if self
             .since
-            .is_none_or(|since| now.since(since) < HEADLESS_TIME)
+            .is_none_or(|since| now.since(since) < MAX_PRIMARY_ABSENCE)
         {
             return false;
         }
         match knowledge {
             EndpointKnowledge::Known => true,
-            EndpointKnowledge::Heard => {
+            EndpointKnowledge::Announced => {
                 let mut count = self.announcements.iter().map(|(_, count)| *count);
                 !self.announcements.is_empty() && count.all(|count| count >= MIN_ANNOUNCEMENTS)
             }
--- a/crates/control/src/quorum.rs
+++ b/crates/control/src/quorum.rs
@@ -213,7 +213,7 @@
     }
 
     /// Stops waiting for a write that no majority held within `time`.
-    pub fn give_up_overdue(&mut self, ticket: WriteTicket, time: Duration) {
+    pub fn abandon_overdue(&mut self, ticket: WriteTicket, time: Duration) {
         let mut waiting = self.waiting.iter();
         let position = waiting.find_map(|(position, held)| (*held == ticket).then_some(*position));
         if let Some(position) = position {
@@ -226,7 +226,7 @@
     /// by a majority.
     ///
     /// Another write with as little time would run and end with an unknown outcome too.
-    pub fn is_overdue_beyond(&self, time: Duration) -> bool {
+    pub fn would_be_overdue(&self, time: Duration) -> bool {
         let majority = self.majority_position();
         self.overdue.is_some_and(|overdue| {
             let held = majority.is_some_and(|majority| majority.covers(overdue.position));
--- a/crates/control/src/replacement.rs
+++ b/crates/control/src/replacement.rs
@@ -114,7 +114,11 @@
     }
 
     /// Records the instances that the caller has asked for a report.
-    pub fn note_asked(&mut self, now: ClockTime, asked: impl IntoIterator<Item = InstanceName>) {
+    pub fn note_requested(
+        &mut self,
+        now: ClockTime,
+        asked: impl IntoIterator<Item = InstanceName>,
+    ) {
         self.pending_reports = asked.into_iter().collect();
         self.reports.clear();
         self.reports_requested_at = now;
@@ -139,7 +143,7 @@
     }
 
     /// Processes the fencing token that the agreed log has issued.
-    pub fn take_number(&mut self, now: ClockTime, token: u64) -> ReplacementActions {
+    pub fn receive_token(&mut self, now: ClockTime, token: u64) -> ReplacementActions {
         self.token = Some(token);
         self.handle(now, ReplacementEvent::NumberIssued)
     }
--- a/crates/control/src/replica_estimate.rs
+++ b/crates/control/src/replica_estimate.rs
@@ -92,7 +92,7 @@
     }
 
     /// Returns the position that the replica is assumed to hold.
-    pub fn assume(&self, now: ClockTime, history: &PositionHistory) -> LogPosition {
+    pub fn assumed_position(&self, now: ClockTime, history: &PositionHistory) -> LogPosition {
         let assumed = history.required(now, self.lag(now));
         let missing = self.missing.filter(|missing| now < missing.until);
         match missing {
@@ -104,7 +104,12 @@
     }
 
     /// Records an answer that contained the replica's position.
-    pub fn learn(&mut self, now: ClockTime, position: LogPosition, history: &PositionHistory) {
+    pub fn record_answer(
+        &mut self,
+        now: ClockTime,
+        position: LogPosition,
+        history: &PositionHistory,
+    ) {
         self.last_answer_at = now;
         self.reported_position = position;
         if position < history.start() {
@@ -127,8 +132,13 @@
     /// Records that the replica refused a read because it lacked the position `required`.
     ///
     /// `reported` is the replica's position according to the refusal, which the caller passes to
-    /// [`learn`](Self::learn) first. A refusal without a position doubles the lag.
-    pub fn refuse(&mut self, now: ClockTime, required: LogPosition, reported: Option<LogPosition>) {
+    /// [`record_answer`](Self::record_answer) first. A refusal without a position doubles the lag.
+    pub fn record_refusal(
+        &mut self,
+        now: ClockTime,
+        required: LogPosition,
+        reported: Option<LogPosition>,
+    ) {
         if reported.is_none() {
             // Without a position, the refusal only shows that the replica lags more than assumed.
             self.lag = (self.lag(now) * 2).min(MAX_LAG);
--- a/crates/control/src/transfer.rs
+++ b/crates/control/src/transfer.rs
@@ -119,7 +119,7 @@
     ///
     /// In the routing scope, departures and members that serve no groups can wait for the member's
     /// next heartbeat.
-    pub fn is_pressing(&self, from: CatalogRevision, scope: CatalogScope) -> bool {
+    pub fn needs_prompt_delivery(&self, from: CatalogRevision, scope: CatalogScope) -> bool {
         let start = CatalogCursor {
             revision: from,
             after: None,
--- a/crates/control/tests/state/journal.rs
+++ b/crates/control/tests/state/journal.rs
@@ -299,7 +299,7 @@
     session_position_survives_a_takeover {
         let mut journal = first_journal(&["vm-2"]);
         let mut replica = empty_replica();
-        let sequence = journal.note_session(&omuti(), &clerk(), position(40));
+        let sequence = journal.record_session(&omuti(), &clerk(), position(40));
         replicate(&mut journal, "vm-2", &mut replica);
         assert!(journal.is_replicated(sequence));
         let next = placement("cases", 2, "vm-2", &[]);
--- a/crates/control/tests/state/membership.rs
+++ b/crates/control/tests/state/membership.rs
@@ -4,8 +4,8 @@
 use ragwort_control::ClockTime;
 use ragwort_control::LeaseDecision;
 use ragwort_control::LeaseLedger;
-use ragwort_control::LeasePace;
 use ragwort_control::MemberLease;
+use ragwort_control::RequestedLease;
 use ragwort_control::load_cap;
 use ragwort_control::plan_handovers;
 use ragwort_control::plan_placements;
@@ -390,15 +390,15 @@
     /// the VM would stop serving each time without a fault; it requests a lease that covers its
     /// pauses.
     pauses_lengthen_the_lease {
-        let mut requested_lease = LeasePace::new(millis(150), millis(1_200));
+        let mut requested_lease = RequestedLease::new(millis(150), millis(1_200));
         assert_eq!(requested_lease.lease(), millis(600));
-        assert!(!requested_lease.note_round(millis(80)));
-        assert!(!requested_lease.note_round(millis(300)));
-        assert!(requested_lease.note_round(millis(400)));
+        assert!(!requested_lease.note_heartbeat_time(millis(80)));
+        assert!(!requested_lease.note_heartbeat_time(millis(300)));
+        assert!(requested_lease.note_heartbeat_time(millis(400)));
         assert_eq!(requested_lease.lease(), millis(750));
-        assert!(!requested_lease.note_round(millis(10)));
+        assert!(!requested_lease.note_heartbeat_time(millis(10)));
         assert_eq!(requested_lease.lease(), millis(750), "the requested length never falls");
-        assert!(requested_lease.note_round(millis(1_100)));
+        assert!(requested_lease.note_heartbeat_time(millis(1_100)));
         assert_eq!(requested_lease.lease(), millis(1_200));
     }
 }
@@ -407,8 +407,8 @@
     /// A VM was frozen for seconds. No lease could cover that, and a longer one would only delay
     /// its groups' next takeover.
     long_freeze_does_not_lengthen_the_lease {
-        let mut requested_lease = LeasePace::new(millis(150), millis(1_200));
-        assert!(!requested_lease.note_round(millis(7_000)));
+        let mut requested_lease = RequestedLease::new(millis(150), millis(1_200));
+        assert!(!requested_lease.note_heartbeat_time(millis(7_000)));
         assert_eq!(requested_lease.lease(), millis(600));
     }
 }
--- a/crates/control/tests/state/native_roles.rs
+++ b/crates/control/tests/state/native_roles.rs
@@ -1,7 +1,7 @@
 //! Tests of the choice of the primary when instances disagree.
 
 use ragwort_control::ClockTime;
-use ragwort_control::RoleBoard;
+use ragwort_control::InstanceRoles;
 use ragwort_control::RoleReport;
 use ragwort_types::GroupTerm;
 use ragwort_types::InstanceName;
@@ -22,13 +22,13 @@
     }
 }
 
-fn claim(board: &mut RoleBoard, number: u64, term: u64) {
-    board.hear(NOW, &name(number), InstanceRole::Primary, false);
-    board.take_report(NOW, &name(number), report(InstanceRole::Primary, term));
+fn claim(roles: &mut InstanceRoles, number: u64, term: u64) {
+    roles.note_announcement(NOW, &name(number), InstanceRole::Primary, false);
+    roles.take_report(NOW, &name(number), report(InstanceRole::Primary, term));
 }
 
-fn primary(board: &RoleBoard) -> Option<(InstanceName, u64)> {
-    let found = board.primary();
+fn primary(roles: &InstanceRoles) -> Option<(InstanceName, u64)> {
+    let found = roles.primary();
     found.map(|(instance, term)| (instance.clone(), term.0))
 }
 
@@ -36,12 +36,12 @@
     /// A partitioned former primary still claims to be the primary, and its announcements arrive by
     /// another path. Writes must go to the primary of the later term.
     later_term_decides {
-        let mut board = RoleBoard::default();
-        claim(&mut board, 1, 3);
-        claim(&mut board, 2, 4);
-        assert_eq!(primary(&board), Some((name(2), 4)));
-        board.hear(NOW, &name(1), InstanceRole::Primary, false);
-        assert_eq!(primary(&board), Some((name(2), 4)));
+        let mut roles = InstanceRoles::default();
+        claim(&mut roles, 1, 3);
+        claim(&mut roles, 2, 4);
+        assert_eq!(primary(&roles), Some((name(2), 4)));
+        roles.note_announcement(NOW, &name(1), InstanceRole::Primary, false);
+        assert_eq!(primary(&roles), Some((name(2), 4)));
     }
 }
 
@@ -49,13 +49,13 @@
     /// A new leaseholder knows the endpoints from its predecessor, and the first one that answers
     /// is a primary that was replaced while partitioned. Writes sent to it would be lost.
     predecessors_term_is_not_gone_below {
-        let mut board = RoleBoard::new(GroupTerm(4));
-        board.expect(NOW, &name(1), false);
-        assert!(board.needs_report(&name(1)));
-        claim(&mut board, 1, 3);
-        assert_eq!(primary(&board), None);
-        claim(&mut board, 2, 4);
-        assert_eq!(primary(&board), Some((name(2), 4)));
+        let mut roles = InstanceRoles::new(GroupTerm(4));
+        roles.add_expected(NOW, &name(1), false);
+        assert!(roles.needs_report(&name(1)));
+        claim(&mut roles, 1, 3);
+        assert_eq!(primary(&roles), None);
+        claim(&mut roles, 2, 4);
+        assert_eq!(primary(&roles), Some((name(2), 4)));
     }
 }
 
@@ -63,10 +63,10 @@
     /// An instance claims to be the primary without a known term. It may have been replaced long
     /// ago, so its data must not be considered complete.
     claim_without_a_term_counts_for_nothing {
-        let mut board = RoleBoard::default();
-        board.hear(NOW, &name(1), InstanceRole::Primary, false);
-        assert_eq!(primary(&board), None);
-        assert!(board.needs_report(&name(1)));
+        let mut roles = InstanceRoles::default();
+        roles.note_announcement(NOW, &name(1), InstanceRole::Primary, false);
+        assert_eq!(primary(&roles), None);
+        assert!(roles.needs_report(&name(1)));
     }
 }
 
@@ -74,11 +74,11 @@
     /// The primary of term 4 is gone, and that of term 3 still claims to be the primary. It lacks
     /// what was acknowledged since, so the group must have no primary.
     earlier_primary_is_not_accepted_again {
-        let mut board = RoleBoard::default();
-        claim(&mut board, 1, 3);
-        claim(&mut board, 2, 4);
-        board.forget(&name(2));
-        assert_eq!(primary(&board), None);
+        let mut roles = InstanceRoles::default();
+        claim(&mut roles, 1, 3);
+        claim(&mut roles, 2, 4);
+        roles.forget(&name(2));
+        assert_eq!(primary(&roles), None);
     }
 }
 
@@ -86,12 +86,12 @@
     /// The primary refuses a write: it was replaced and hasn't announced that yet. It must be asked
     /// for a report before it is used again.
     refused_write_ends_a_claim {
-        let mut board = RoleBoard::default();
-        claim(&mut board, 1, 3);
-        board.see_refused_write(NOW, &name(1));
-        assert_eq!(primary(&board), None);
-        board.hear(NOW, &name(1), InstanceRole::Primary, false);
-        assert!(board.needs_report(&name(1)));
-        assert_eq!(primary(&board), None);
+        let mut roles = InstanceRoles::default();
+        claim(&mut roles, 1, 3);
+        roles.note_refused_write(NOW, &name(1));
+        assert_eq!(primary(&roles), None);
+        roles.note_announcement(NOW, &name(1), InstanceRole::Primary, false);
+        assert!(roles.needs_report(&name(1)));
+        assert_eq!(primary(&roles), None);
     }
 }
--- a/crates/control/tests/state/positions.rs
+++ b/crates/control/tests/state/positions.rs
@@ -84,15 +84,15 @@
         let mut replica = ReplicaEstimate::default();
         let mut now = at(3_000);
         for _ in 0..6 {
-            let wanted = replica.assume(now, &history);
-            replica.refuse(now, wanted, None);
-            assert!(replica.assume(now, &history) < wanted);
+            let wanted = replica.assumed_position(now, &history);
+            replica.record_refusal(now, wanted, None);
+            assert!(replica.assumed_position(now, &history) < wanted);
             now = now + millis(5);
         }
         assert!(replica.lag(now) > millis(500));
         now = now + millis(5_000);
         assert!(replica.lag(now) < millis(20), "{:?}", replica.lag(now));
-        assert!(replica.assume(now, &history) >= history.required(now, millis(20)));
+        assert!(replica.assumed_position(now, &history) >= history.required(now, millis(20)));
     }
 }
 
@@ -101,9 +101,9 @@
     reported_position_counts_at_once {
         let history = steady_history(50);
         let mut replica = ReplicaEstimate::default();
-        replica.refuse(at(1_490), position(1, 145), None);
-        replica.learn(at(1_500), position(1, 148), &history);
-        assert!(replica.assume(at(1_500), &history) >= position(1, 148));
+        replica.record_refusal(at(1_490), position(1, 145), None);
+        replica.record_answer(at(1_500), position(1, 148), &history);
+        assert!(replica.assumed_position(at(1_500), &history) >= position(1, 148));
     }
 }
 
@@ -114,8 +114,8 @@
         let mut history = PositionHistory::default();
         history.begin(position(1, 86));
         let mut replica = ReplicaEstimate::default();
-        replica.learn(at(1_000), position(1, 75), &history);
-        assert_eq!(replica.assume(at(1_001), &history), position(1, 75));
+        replica.record_answer(at(1_000), position(1, 75), &history);
+        assert_eq!(replica.assumed_position(at(1_001), &history), position(1, 75));
     }
 }
 
@@ -175,15 +175,16 @@
         let floor = self.history.required(now, allowed);
         let position_held = self.replica_position(now_ms);
         self.possible += u32::from(position_held >= floor);
-        if self.replica.assume(now, &self.history) < floor {
+        if self.replica.assumed_position(now, &self.history) < floor {
             return;
         }
-        self.replica.learn(now, position_held, &self.history);
+        self.replica
+            .record_answer(now, position_held, &self.history);
         if position_held >= floor {
             self.served += 1;
         } else {
             self.refused += 1;
-            self.replica.refuse(now, floor, Some(position_held));
+            self.replica.record_refusal(now, floor, Some(position_held));
         }
     }
 }
--- a/crates/control/tests/state/proximity.rs
+++ b/crates/control/tests/state/proximity.rs
@@ -5,8 +5,8 @@
 use crate::common::member;
 use crate::common::placement;
 use ragwort_control::CatalogCopy;
-use ragwort_control::plan_approaches;
 use ragwort_control::plan_handovers;
+use ragwort_control::plan_moves_to_endpoints;
 use ragwort_control::plan_placements;
 use ragwort_types::CatalogCommand;
 use ragwort_types::EndpointAnnouncement;
@@ -54,7 +54,7 @@
     let mut copy = CatalogCopy::new();
     copy.apply_delta(&script.state.delta_since(copy.revision()))
         .unwrap();
-    let plans = plan_approaches(&copy, &vm.into(), unused);
+    let plans = plan_moves_to_endpoints(&copy, &vm.into(), unused);
     plans.into_iter().next().map(|plan| plan.leaseholder)
 }
 
@@ -135,7 +135,7 @@
             .unwrap();
         let due = plan_handovers(&copy, &vm).into_iter();
         // A VM hands over one group at a time and then plans again.
-        let plan = due.chain(plan_approaches(&copy, &vm, false)).next();
+        let plan = due.chain(plan_moves_to_endpoints(&copy, &vm, false)).next();
         if let Some(plan) = plan {
             script.expect_done(CatalogCommand::PlaceGroup(plan));
             moved = true;
--- a/crates/control/tests/state/quorum.rs
+++ b/crates/control/tests/state/quorum.rs
@@ -237,14 +237,14 @@
         quorum.report(now(), now(), &name("a"), status(1, 1, 20));
         quorum.report(now(), now(), &name("b"), status(1, 1, 19));
         let (ticket, _) = quorum.await_majority(position(20));
-        assert!(!quorum.is_overdue_beyond(limit));
-        quorum.give_up_overdue(ticket, limit);
+        assert!(!quorum.would_be_overdue(limit));
+        quorum.abandon_overdue(ticket, limit);
         assert_eq!(quorum.waiting_writes(), 0);
-        assert!(quorum.is_overdue_beyond(limit));
-        assert!(quorum.is_overdue_beyond(shorter));
-        assert!(!quorum.is_overdue_beyond(longer));
+        assert!(quorum.would_be_overdue(limit));
+        assert!(quorum.would_be_overdue(shorter));
+        assert!(!quorum.would_be_overdue(longer));
         quorum.report(now(), now(), &name("b"), status(1, 1, 20));
-        assert!(!quorum.is_overdue_beyond(limit));
+        assert!(!quorum.would_be_overdue(limit));
     }
 }
 
--- a/crates/control/tests/state/replacement.rs
+++ b/crates/control/tests/state/replacement.rs
@@ -40,7 +40,7 @@
     let patience = Duration::from_millis(200);
     let actions = replacement.begin(at(0), Some(&name(1)), position(50), patience);
     assert_eq!(actions.as_slice(), [ReplacementAction::AskInstances]);
-    replacement.note_asked(at(0), [name(2), name(3)]);
+    replacement.note_requested(at(0), [name(2), name(3)]);
     replacement
 }
 
@@ -57,7 +57,7 @@
         first(chosen),
         Some(ReplacementAction::ProposeNumber(name(3)))
     );
-    let order = replacement.take_number(at(8), 7);
+    let order = replacement.receive_token(at(8), 7);
     assert_eq!(first(order), Some(ReplacementAction::GiveOrder(name(3), 7)));
     replacement
 }
@@ -83,12 +83,12 @@
         assert!(replacement.take_report(at(6), &name(3), replica(49)).is_empty());
         let again = replacement.tick(at(106));
         assert_eq!(first(again), Some(ReplacementAction::AskInstances));
-        replacement.note_asked(at(106), [name(2), name(3)]);
+        replacement.note_requested(at(106), [name(2), name(3)]);
         replacement.take_report(at(107), &name(2), replica(40));
         assert!(replacement.take_report(at(108), &name(3), replica(49)).is_empty());
         let last = replacement.tick(at(208));
         assert_eq!(first(last), Some(ReplacementAction::AskInstances));
-        replacement.note_asked(at(208), [name(2), name(3)]);
+        replacement.note_requested(at(208), [name(2), name(3)]);
         replacement.take_report(at(209), &name(2), replica(40));
         let chosen = replacement.take_report(at(210), &name(3), replica(49));
         assert_eq!(first(chosen), Some(ReplacementAction::ProposeNumber(name(3))));
@@ -123,11 +123,11 @@
         let mut replacement = ordered_replacement();
         let again = replacement.handle(at(410), ReplacementEvent::OrderUnknown);
         assert_eq!(first(again), Some(ReplacementAction::AskInstances));
-        replacement.note_asked(at(410), [name(2), name(3)]);
+        replacement.note_requested(at(410), [name(2), name(3)]);
         replacement.take_report(at(415), &name(2), replica(50));
         let chosen = replacement.take_report(at(416), &name(3), None);
         assert_eq!(first(chosen), Some(ReplacementAction::ProposeNumber(name(2))));
-        let order = replacement.take_number(at(420), 9);
+        let order = replacement.receive_token(at(420), 9);
         assert_eq!(first(order), Some(ReplacementAction::GiveOrder(name(2), 9)));
     }
 }
@@ -138,7 +138,7 @@
     lost_answer_to_an_order_that_took_effect_ends_it {
         let mut replacement = ordered_replacement();
         replacement.handle(at(410), ReplacementEvent::OrderUnknown);
-        replacement.note_asked(at(410), [name(2), name(3)]);
+        replacement.note_requested(at(410), [name(2), name(3)]);
         replacement.note_primary(at(412), &name(3), true);
         assert_eq!(replacement.state(), ReplacementState::Steady);
         assert!(replacement.take_report(at(415), &name(2), replica(50)).is_empty());
--- a/crates/control/tests/state/transfer.rs
+++ b/crates/control/tests/state/transfer.rs
@@ -146,7 +146,7 @@
         script.apply(CatalogCommand::ApplyDocument(Box::new(changed)));
         let delta = script.state.short_delta(before, CatalogScope::Routing).unwrap();
         assert_eq!(delta.items.len(), 1);
-        assert!(script.state.is_pressing(before, CatalogScope::Routing));
+        assert!(script.state.needs_prompt_delivery(before, CatalogScope::Routing));
     }
 }
 
@@ -159,8 +159,8 @@
         let mut gateway = member(1_000, 1);
         gateway.traits = MemberTraits { control: false, leaseholder: false, exclusive: true };
         script.expect_done(CatalogCommand::AdmitMember(gateway));
-        assert!(!script.state.is_pressing(before, CatalogScope::Routing));
-        assert!(script.state.is_pressing(before, CatalogScope::Whole));
+        assert!(!script.state.needs_prompt_delivery(before, CatalogScope::Routing));
+        assert!(script.state.needs_prompt_delivery(before, CatalogScope::Whole));
     }
 }
 
--- a/crates/daemon/src/control/heartbeats.rs
+++ b/crates/daemon/src/control/heartbeats.rs
@@ -196,25 +196,28 @@
         }
     }
 
-    /// Sends the granted replies that carry pressing news or have been held long enough.
+    /// Sends the granted replies that carry changes to be delivered promptly or have been held long
+    /// enough.
     ///
     /// A reply waits until this VM's catalog has reached the leader's revision at the grant.
-    /// Without pressing news it is then held for half a heartbeat interval, so that a change that
+    /// Without such changes it is then held for half a heartbeat interval, so that a change that
     /// is committed meanwhile reaches the member at once and not with its next heartbeat. A member
     /// that lacks too much for a delta gets a grant without one, and fetches the changes in pieces.
     pub(super) fn send_due_replies(&mut self) {
         let revision = self.catalog.revision();
         let now = self.clock.now();
         let catalog = &self.catalog;
-        let mut pressing = BTreeMap::new();
-        let mut is_pressing = |held: CatalogRevision, scope: CatalogScope| {
-            let known = pressing.entry((held, scope));
-            *known.or_insert_with(|| held < revision && catalog.is_pressing(held, scope))
+        let mut prompt = BTreeMap::new();
+        let mut needs_prompt_delivery = |held: CatalogRevision, scope: CatalogScope| {
+            let known = prompt.entry((held, scope));
+            *known.or_insert_with(|| held < revision && catalog.needs_prompt_delivery(held, scope))
         };
         let ready = self.held_replies.extract_if(.., |held_reply| {
             let request = &held_reply.waiting.request;
             let caught_up = held_reply.grant.revision <= revision;
-            caught_up && (now >= held_reply.due || is_pressing(request.revision, scope_of(request)))
+            caught_up
+                && (now >= held_reply.due
+                    || needs_prompt_delivery(request.revision, scope_of(request)))
         });
         let mut deltas = BTreeMap::new();
         for held_reply in ready {
--- a/crates/daemon/src/group/confirming.rs
+++ b/crates/daemon/src/group/confirming.rs
@@ -41,7 +41,7 @@
             && let Some(journal) = &mut self.journal
         {
             let request = &active.request;
-            journal.note_session(&request.customer, &request.session, position);
+            journal.record_session(&request.customer, &request.session, position);
         }
         let (waiting, released) = self.quorum.await_majority(position);
         self.unconfirmed_writes.insert(waiting, ticket);
@@ -146,7 +146,7 @@
         if let Some(key) = request.marks.key.filter(|_| active.key_entry.is_some()) {
             journal.decide(&request.customer, key, verdict);
         }
-        let entry = journal.note_session(&request.customer, &request.session, served.position);
+        let entry = journal.record_session(&request.customer, &request.session, served.position);
         active.stage = RequestStage::Recording(entry);
         self.answer_recorded();
     }
--- a/crates/daemon/src/group/intake.rs
+++ b/crates/daemon/src/group/intake.rs
@@ -200,7 +200,7 @@
         }
         let lag = self.majority_lag(now);
         let left = active.deadline.since(now);
-        let overdue = self.quorum.is_overdue_beyond(left);
+        let overdue = self.quorum.would_be_overdue(left);
         if lag < left && !overdue {
             return false;
         }
--- a/crates/daemon/src/handover_plans.rs
+++ b/crates/daemon/src/handover_plans.rs
@@ -5,8 +5,8 @@
 //! would grow with the square of the number of groups.
 
 use ragwort_control::CatalogCopy;
-use ragwort_control::plan_approaches;
 use ragwort_control::plan_handovers;
+use ragwort_control::plan_moves_to_endpoints;
 use ragwort_types::CatalogRevision;
 use ragwort_types::GroupName;
 use ragwort_types::GroupPlacement;
@@ -26,8 +26,8 @@
     fn plan(copy: &CatalogCopy, vm: &VmName) -> Self {
         Self {
             due: plan_handovers(copy, vm),
-            nearer: plan_approaches(copy, vm, false),
-            nearer_while_unused: plan_approaches(copy, vm, true),
+            nearer: plan_moves_to_endpoints(copy, vm, false),
+            nearer_while_unused: plan_moves_to_endpoints(copy, vm, true),
         }
     }
 
--- a/crates/daemon/src/member.rs
+++ b/crates/daemon/src/member.rs
@@ -16,8 +16,8 @@
 use log::Level;
 use ragwort_control::CatalogCopy;
 use ragwort_control::ClockTime;
-use ragwort_control::LeasePace;
 use ragwort_control::MemberLease;
+use ragwort_control::RequestedLease;
 use ragwort_rpc::PeerApiClient;
 use ragwort_types::CatalogCommand;
 use ragwort_types::CatalogDelta;
@@ -100,7 +100,7 @@
     /// Ends the task.
     pub stop: watch::Receiver<bool>,
     /// Determines the length of the lease to ask for.
-    pub pace: LeasePace,
+    pub requested_lease: RequestedLease,
     /// The last grant, while its lease can't begin yet.
     pub pending_grant: Option<PendingGrant>,
 }
@@ -112,10 +112,10 @@
     grant: LeaseGrant,
 }
 
-/// Creates the lease pace with which a process of these settings starts.
-pub fn create_pace(settings: &DaemonSettings) -> LeasePace {
+/// Returns the lease that a process with these settings requests at first.
+pub fn initial_requested_lease(settings: &DaemonSettings) -> RequestedLease {
     let timing = &settings.timing;
-    LeasePace::new(
+    RequestedLease::new(
         Duration::from_millis(timing.heartbeat_ms),
         Duration::from_millis(timing.lease_ms),
     )
@@ -185,7 +185,7 @@
                     // The time to find a control VM that grants says nothing about the delays of a
                     // heartbeat.
                     if attached {
-                        self.note_round(sent);
+                        self.record_heartbeat_time(sent);
                     }
                     if !attached {
                         log_event!(Level::Info, "lease_granted", vm = id.vm, control = address);
@@ -236,7 +236,7 @@
             domain: self.settings.domain.clone(),
             peer_address: self.settings.listen.peers,
             statement_address: self.settings.listen.statements,
-            lease_ms: self.pace.lease().as_millis() as u64,
+            lease_ms: self.requested_lease.lease().as_millis() as u64,
             draining: *self.draining.borrow(),
             traits: self.describe_traits(),
         }
@@ -311,7 +311,7 @@
         address: SocketAddr,
     ) -> Option<SentReply> {
         let sent = self.clock.now();
-        let limit = self.pace.lease() / ATTEMPTS_IN_LEASE;
+        let limit = self.requested_lease.lease() / ATTEMPTS_IN_LEASE;
         let call = |client: Arc<jsonrpsee_ws_client::WsClient>| async move {
             client.heartbeat(request).await
         };
@@ -377,14 +377,14 @@
     }
 
     /// Records how long a granted heartbeat took, which may lengthen the lease to ask for.
-    fn note_round(&mut self, sent: ClockTime) {
+    fn record_heartbeat_time(&mut self, sent: ClockTime) {
         let took = self.clock.now().since(sent);
-        if self.pace.note_round(took) {
+        if self.requested_lease.note_heartbeat_time(took) {
             log_event!(
                 Level::Info,
                 "lease_lengthened",
                 took_ms = took.as_millis(),
-                lease_ms = self.pace.lease().as_millis(),
+                lease_ms = self.requested_lease.lease().as_millis(),
             );
         }
     }
--- a/crates/daemon/src/native/faults.rs
+++ b/crates/daemon/src/native/faults.rs
@@ -61,7 +61,7 @@
                     group = self.group,
                     instance = instance,
                 );
-                self.roles.see_refused_write(now, instance);
+                self.roles.note_refused_write(now, instance);
                 self.apply_roles();
             }
             EndpointFaultKind::Lagging => {
@@ -69,7 +69,7 @@
                 let wanted = min_position.unwrap_or_default();
                 let replica = self.replicas.entry(instance.clone()).or_default();
                 let stands = end.and_then(|end| end.position);
-                replica.refuse(now, wanted, stands);
+                replica.record_refusal(now, wanted, stands);
                 let lag_ms = replica.lag(now).as_millis();
                 log_event!(
                     Level::Info,
--- a/crates/daemon/src/native/mod.rs
+++ b/crates/daemon/src/native/mod.rs
@@ -45,12 +45,12 @@
 use notes::NotesProgress;
 use pool::NativePool;
 use ragwort_control::ClockTime;
-use ragwort_control::HeadlessWatch;
+use ragwort_control::InstanceRoles;
 use ragwort_control::PositionHistory;
+use ragwort_control::PrimaryAbsence;
 use ragwort_control::PrimaryReplacement;
 use ragwort_control::ReplacementState;
 use ragwort_control::ReplicaEstimate;
-use ragwort_control::RoleBoard;
 use ragwort_policy::AccountDemand;
 use ragwort_policy::CustomerTerms;
 use ragwort_policy::GroupScheduler;
@@ -112,7 +112,7 @@
     demand: AccountDemand,
     /// Whether client accounts are configured. Each connection then serves callers of one account only.
     by_account: bool,
-    roles: RoleBoard,
+    roles: InstanceRoles,
     /// The last primary that was found, and its term; `history` holds its positions.
     leading: Option<(InstanceName, GroupTerm)>,
     history: PositionHistory,
@@ -121,7 +121,7 @@
     /// The primary that was found unresponsive and is kept out of use.
     suspect: Option<InstanceName>,
     /// Tracks how long the group has had no usable primary.
-    primary_absence: HeadlessWatch,
+    primary_absence: PrimaryAbsence,
     /// When the promotion service accepted the last order; `None` once a primary was found after it.
     promotion_ordered_at: Option<ClockTime>,
     /// Estimated time from an accepted promotion order until its primary is found.
@@ -157,7 +157,7 @@
     let open_limit = Duration::from_millis(context.settings.timing.connect_timeout_ms);
     let protocol = Arc::clone(&edges.endpoints);
     let reached = record.term;
-    let mut primary_absence = HeadlessWatch::default();
+    let mut primary_absence = PrimaryAbsence::default();
     primary_absence.begin(context.clock.now());
     let task = NativeTask {
         pool: NativePool::new(
@@ -177,7 +177,7 @@
         scheduler,
         demand: AccountDemand::default(),
         by_account: false,
-        roles: RoleBoard::new(reached),
+        roles: InstanceRoles::new(reached),
         leading: None,
         history: PositionHistory::default(),
         replicas: BTreeMap::new(),
--- a/crates/daemon/src/native/notes.rs
+++ b/crates/daemon/src/native/notes.rs
@@ -56,7 +56,7 @@
                 address = announcement.data_address,
             );
             self.pool.record_announcement(now, announcement);
-            self.roles.expect(now, &instance, leaving);
+            self.roles.add_expected(now, &instance, leaving);
             self.open_connection(now, &instance);
         }
     }
--- a/crates/daemon/src/native/outcomes.rs
+++ b/crates/daemon/src/native/outcomes.rs
@@ -89,7 +89,7 @@
         let leads = self.is_leading(instance);
         if let Some(position) = position.filter(|_| !leads) {
             let replica = self.replicas.entry(instance.clone()).or_default();
-            replica.learn(now, position, &self.history);
+            replica.record_answer(now, position, &self.history);
         }
     }
 
--- a/crates/daemon/src/native/primary.rs
+++ b/crates/daemon/src/native/primary.rs
@@ -106,8 +106,8 @@
         };
         let left = self.roles.is_leaving(&instance);
         self.pool.record_announcement(now, announcement);
-        self.roles.hear(now, &instance, role, leaving);
-        self.primary_absence.hear(&instance);
+        self.roles.note_announcement(now, &instance, role, leaving);
+        self.primary_absence.count_announcement(&instance);
         if !known || left != leaving {
             log_event!(
                 Level::Info,
@@ -338,7 +338,7 @@
                 continue;
             }
             let replica = self.replicas.get(&instance).copied().unwrap_or_default();
-            let assumed = replica.assume(now, &self.history);
+            let assumed = replica.assumed_position(now, &self.history);
             self.scheduler
                 .report_position(now, &instance, assumed, replica.lag(now));
         }
@@ -411,7 +411,7 @@
         let known = self.leading.is_some() || !self.record.endpoints.is_empty();
         let knowledge = match known {
             true => EndpointKnowledge::Known,
-            false => EndpointKnowledge::Heard,
+            false => EndpointKnowledge::Announced,
         };
         if self.primary_absence.is_primary_missing(now, knowledge) {
             self.begin_replacement(None, "missing", CATCH_UP_LIMIT_DEAD);
@@ -526,7 +526,7 @@
                 self.open_connection(now, &instance);
             }
         }
-        self.replacement.note_asked(now, asked);
+        self.replacement.note_requested(now, asked);
     }
 
     /// Handles the reply to a token request. The token is the revision at which the request was committed.
@@ -534,7 +534,7 @@
         let now = self.now();
         let actions = match reply {
             CommandReply::Committed(CatalogOutcome::Done(revision)) => {
-                self.replacement.take_number(now, revision.0)
+                self.replacement.receive_token(now, revision.0)
             }
             CommandReply::Committed(_) => self
                 .replacement
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -29,7 +29,7 @@
 use crate::member::MemberTask;
 use crate::member::MemberView;
 use crate::member::create_member_id;
-use crate::member::create_pace;
+use crate::member::initial_requested_lease;
 use crate::metrics::DaemonMetrics;
 use crate::peers::PeerLinks;
 use crate::platform::PlatformView;
@@ -459,7 +459,7 @@
         unplaced,
         draining: base.switches.drain.subscribe(),
         stop: base.switches.member.subscribe(),
-        pace: create_pace(&base.settings),
+        requested_lease: initial_requested_lease(&base.settings),
         pending_grant: None,
     };
     tokio::spawn(member.run(base.id.clone()))
--- a/crates/daemon/tests/native/failover.rs
+++ b/crates/daemon/tests/native/failover.rs
@@ -6,7 +6,7 @@
 use crate::bench::WRITE;
 use crate::bench::is_served;
 use crate::bench::position;
-use ragwort_control::HEADLESS_TIME;
+use ragwort_control::MAX_PRIMARY_ABSENCE;
 use ragwort_types::EndpointFaultKind;
 use ragwort_types::RequestVerdict;
 use ragwortgated::edges::PromotionReply;
@@ -134,7 +134,7 @@
     let mut bench = NativeBench::start([5, 5, 5]).await;
     bench.announce(1, false).await;
     bench.announce(2, false).await;
-    sleep(HEADLESS_TIME * 2).await;
+    sleep(MAX_PRIMARY_ABSENCE * 2).await;
     bench.settle_without(1).await;
     assert!(bench.promotions.orders.lock().unwrap().is_empty());
 }
