--- a/crates/daemon/src/callers/conversation.rs
+++ b/crates/daemon/src/callers/conversation.rs
@@ -437,7 +437,7 @@
             | StatementClass::Rollback => return Ok(StatementShape::default()),
         }
         let request = DescribeRequest {
-            opening: self.runner.opening().clone(),
+            identity: self.runner.identity().clone(),
             text: prepared.text.to_string(),
             transaction: self.runner.state().open(),
         };
--- a/crates/daemon/src/callers/mod.rs
+++ b/crates/daemon/src/callers/mod.rs
@@ -45,7 +45,7 @@
 
 /// The identity of a session, taken from the caller's start-up message.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct SessionOpening {
+pub struct SessionIdentity {
     /// The customer, given as the start-up user.
     pub customer: CustomerName,
     /// The database group, given as the start-up database.
@@ -86,7 +86,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DescribeRequest {
     /// The session that asks.
-    pub opening: SessionOpening,
+    pub identity: SessionIdentity,
     /// The statement's text.
     pub text: String,
     /// The transaction in which the statement will run, if one is open.
@@ -114,10 +114,10 @@
     /// # Errors
     ///
     /// Returns the reason if the session is not admitted.
-    fn open_session(&self, opening: &SessionOpening) -> Result<(), SessionRefusal>;
+    fn open_session(&self, identity: &SessionIdentity) -> Result<(), SessionRefusal>;
 
     /// Records the end of an admitted session; called exactly once for each.
-    fn close_session(&self, opening: &SessionOpening);
+    fn close_session(&self, identity: &SessionIdentity);
 
     /// Runs a statement to its final verdict.
     ///
--- a/crates/daemon/src/callers/running.rs
+++ b/crates/daemon/src/callers/running.rs
@@ -4,7 +4,7 @@
 //! verdict, and the state is updated. Transactions that have no caller any more are rolled back, as
 //! each would pin an endpoint's connection.
 
-use crate::callers::SessionOpening;
+use crate::callers::SessionIdentity;
 use crate::callers::StatementClass;
 use crate::callers::StatementScan;
 use crate::callers::StatementService;
@@ -62,7 +62,7 @@
 /// Runs one session's statements and holds its transaction state.
 pub(crate) struct StatementRunner {
     service: Arc<dyn StatementService>,
-    opening: SessionOpening,
+    identity: SessionIdentity,
     state: TransactionState,
     cancelled: watch::Receiver<Option<Instant>>,
     metrics: DaemonMetrics,
@@ -71,13 +71,13 @@
 impl StatementRunner {
     pub(crate) fn new(
         service: Arc<dyn StatementService>,
-        opening: SessionOpening,
+        identity: SessionIdentity,
         cancelled: watch::Receiver<Option<Instant>>,
         metrics: DaemonMetrics,
     ) -> Self {
         Self {
             service,
-            opening,
+            identity,
             state: TransactionState::Idle,
             cancelled,
             metrics,
@@ -88,8 +88,8 @@
         &self.service
     }
 
-    pub(crate) fn opening(&self) -> &SessionOpening {
-        &self.opening
+    pub(crate) fn identity(&self) -> &SessionIdentity {
+        &self.identity
     }
 
     pub(crate) fn state(&self) -> TransactionState {
@@ -203,9 +203,9 @@
     ) -> StatementRequest {
         StatementRequest {
             id: StatementId::fresh(),
-            customer: self.opening.customer.clone(),
-            session: self.opening.session.clone(),
-            group: self.opening.group.clone(),
+            customer: self.identity.customer.clone(),
+            session: self.identity.session.clone(),
+            group: self.identity.group.clone(),
             marks,
             text: text.to_owned(),
             parameters,
--- a/crates/daemon/src/callers/session.rs
+++ b/crates/daemon/src/callers/session.rs
@@ -2,7 +2,7 @@
 
 use crate::callers::CallerLimits;
 use crate::callers::DrainStage;
-use crate::callers::SessionOpening;
+use crate::callers::SessionIdentity;
 use crate::callers::SessionRefusal;
 use crate::callers::StatementService;
 use crate::callers::answers::CallerError;
@@ -79,27 +79,27 @@
     }
 
     async fn run_session(self, options: SessionOptions) {
-        let opening = SessionOpening {
+        let identity = SessionIdentity {
             customer: options.customer,
             group: options.group,
             session: options.session,
         };
-        let admitted = match AdmittedSession::open(&self.service, opening) {
+        let admitted = match AdmittedSession::open(&self.service, identity) {
             Ok(admitted) => admitted,
             Err(refusal) => {
                 self.metrics.count_caller_fault("refused");
                 return self.end_with(CallerError::from(refusal)).await;
             }
         };
-        let opening = admitted.opening.clone();
+        let identity = admitted.identity.clone();
         let metrics = self.metrics.clone();
         let mut stream = self.stream;
         if let Err(fault) = complete_startup(&mut stream, self.key).await {
-            return end_session(stream, &metrics, &opening, SessionEnd::Fault(fault), true).await;
+            return end_session(stream, &metrics, &identity, SessionEnd::Fault(fault), true).await;
         }
         let runner = StatementRunner::new(
             self.service,
-            opening.clone(),
+            identity.clone(),
             self.cancelled,
             metrics.clone(),
         );
@@ -108,7 +108,7 @@
             Conversation::new(stream, runner, store, self.drain_stage, options.notice);
         let end = conversation.run().await;
         let (stream, outcomes_delivered) = conversation.into_stream();
-        end_session(stream, &metrics, &opening, end, outcomes_delivered).await;
+        end_session(stream, &metrics, &identity, end, outcomes_delivered).await;
     }
 
     async fn end_with(self, error: CallerError) {
@@ -128,7 +128,7 @@
 async fn end_session(
     stream: CallerStream,
     metrics: &DaemonMetrics,
-    opening: &SessionOpening,
+    identity: &SessionIdentity,
     end: SessionEnd,
     outcomes_delivered: bool,
 ) {
@@ -144,8 +144,8 @@
                 log_event!(
                     Level::Info,
                     "caller_fault",
-                    customer = opening.customer,
-                    group = opening.group,
+                    customer = identity.customer,
+                    group = identity.group,
                     fault = fault,
                 );
             }
@@ -186,25 +186,25 @@
 /// refused for too many sessions.
 struct AdmittedSession {
     service: Arc<dyn StatementService>,
-    opening: SessionOpening,
+    identity: SessionIdentity,
 }
 
 impl AdmittedSession {
     fn open(
         service: &Arc<dyn StatementService>,
-        opening: SessionOpening,
+        identity: SessionIdentity,
     ) -> Result<Self, SessionRefusal> {
-        service.open_session(&opening)?;
+        service.open_session(&identity)?;
         Ok(Self {
             service: Arc::clone(service),
-            opening,
+            identity,
         })
     }
 }
 
 impl Drop for AdmittedSession {
     fn drop(&mut self) {
-        self.service.close_session(&self.opening);
+        self.service.close_session(&self.identity);
     }
 }
 
--- a/crates/daemon/src/connection.rs
+++ b/crates/daemon/src/connection.rs
@@ -60,11 +60,11 @@
 
 /// A command of the leaseholder to a connection.
 #[derive(Debug)]
-pub enum ConnectionOrder {
+pub enum ConnectionCommand {
     /// Runs a statement.
-    Run(RunOrder),
+    Run(RunCommand),
     /// Describes a statement without running it.
-    Describe(DescribeOrder),
+    Describe(DescribeCommand),
     /// Asks the endpoint to cancel the running statement.
     Cancel,
     /// Checks that the endpoint still answers on this connection.
@@ -73,7 +73,7 @@
 
 /// A statement to run.
 #[derive(Debug)]
-pub struct RunOrder {
+pub struct RunCommand {
     /// The statement's id.
     pub id: StatementId,
     /// The statement's text.
@@ -86,8 +86,8 @@
 
 /// A statement to describe.
 #[derive(Debug)]
-pub struct DescribeOrder {
-    /// Identifies the order.
+pub struct DescribeCommand {
+    /// Identifies the command.
     pub id: StatementId,
     /// The statement's text.
     pub text: String,
@@ -113,8 +113,8 @@
     Opened,
     /// A statement ended.
     Finished(StatementId, RunOutcome),
-    /// The endpoint has answered a ping that was ordered.
-    Proven,
+    /// The endpoint has answered a ping that it was told to send.
+    PingAnswered,
     /// A description ended.
     Described(StatementId, DescribeOutcome),
     /// It is closed; no further event follows.
@@ -148,7 +148,7 @@
     Failed(DatabaseError),
     /// The endpoint refused because it accepts no work now.
     Refused(DatabaseError),
-    /// No byte of the order was sent.
+    /// No byte of the command was sent.
     NotSent,
     /// The connection was lost or silent, or the answer belonged to another statement.
     Lost,
@@ -158,11 +158,11 @@
 pub fn spawn_connection(
     target: ConnectionTarget,
     events: mpsc::Sender<ConnectionEvent>,
-) -> (mpsc::Sender<ConnectionOrder>, JoinHandle<()>) {
-    let (sender, orders) = mpsc::channel(4);
+) -> (mpsc::Sender<ConnectionCommand>, JoinHandle<()>) {
+    let (sender, commands) = mpsc::channel(4);
     let handle = tokio::spawn(async move {
         let id = target.id;
-        run_connection(target, orders, &events).await;
+        run_connection(target, commands, &events).await;
         let change = ConnectionChange::Closed;
         let _ = events.send(ConnectionEvent { id, change }).await;
     });
@@ -171,7 +171,7 @@
 
 async fn run_connection(
     target: ConnectionTarget,
-    orders: mpsc::Receiver<ConnectionOrder>,
+    commands: mpsc::Receiver<ConnectionCommand>,
     events: &mpsc::Sender<ConnectionEvent>,
 ) {
     let Some((client, driver)) = open_client(&target).await else {
@@ -180,7 +180,7 @@
     let change = ConnectionChange::Opened;
     let id = target.id;
     if events.send(ConnectionEvent { id, change }).await.is_ok() {
-        serve_orders(&target, &client, orders, events).await;
+        serve_commands(&target, &client, commands, events).await;
     }
     drop(client);
     driver.abort();
@@ -238,38 +238,38 @@
     row.try_get("instance").ok()?.map(str::to_owned)
 }
 
-async fn serve_orders(
+async fn serve_commands(
     target: &ConnectionTarget,
     client: &Client,
-    mut orders: mpsc::Receiver<ConnectionOrder>,
+    mut commands: mpsc::Receiver<ConnectionCommand>,
     events: &mpsc::Sender<ConnectionEvent>,
 ) {
     loop {
-        let order = match timeout(target.idle_ping, orders.recv()).await {
-            Ok(Some(order)) => Some(order),
+        let command = match timeout(target.idle_ping, commands.recv()).await {
+            Ok(Some(command)) => Some(command),
             Ok(None) => return,
             Err(_) => None,
         };
-        let (change, reusable) = match order {
-            Some(ConnectionOrder::Run(run)) => {
+        let (change, reusable) = match command {
+            Some(ConnectionCommand::Run(run)) => {
                 let id = run.id;
-                let (outcome, reusable) = run_statement(client, run, &mut orders).await;
+                let (outcome, reusable) = run_statement(client, run, &mut commands).await;
                 (Some(ConnectionChange::Finished(id, outcome)), reusable)
             }
-            Some(ConnectionOrder::Describe(order)) => {
-                let (outcome, reusable) = describe_statement(client, &order).await;
-                let change = ConnectionChange::Described(order.id, outcome);
+            Some(ConnectionCommand::Describe(command)) => {
+                let (outcome, reusable) = describe_statement(client, &command).await;
+                let change = ConnectionChange::Described(command.id, outcome);
                 (Some(change), reusable)
             }
-            Some(ConnectionOrder::Ping) => {
+            Some(ConnectionCommand::Ping) => {
                 let answered = ping_endpoint(target, client).await;
-                (answered.then_some(ConnectionChange::Proven), answered)
+                (answered.then_some(ConnectionChange::PingAnswered), answered)
             }
             // A device on the network path may have dropped the state of an idle connection, which
             // then looks open but never answers. The ping detects that before a caller's statement
             // does.
             None => (None, ping_endpoint(target, client).await),
-            Some(ConnectionOrder::Cancel) => (None, true),
+            Some(ConnectionCommand::Cancel) => (None, true),
         };
         if let Some(change) = change {
             let id = target.id;
@@ -278,7 +278,7 @@
             }
         }
         if !reusable {
-            return_unsent(target, orders, events).await;
+            return_unsent(target, commands, events).await;
             return;
         }
     }
@@ -295,17 +295,17 @@
 /// have run, although no byte was sent.
 async fn return_unsent(
     target: &ConnectionTarget,
-    mut orders: mpsc::Receiver<ConnectionOrder>,
+    mut commands: mpsc::Receiver<ConnectionCommand>,
     events: &mpsc::Sender<ConnectionEvent>,
 ) {
-    orders.close();
-    while let Some(order) = orders.recv().await {
-        let change = match order {
-            ConnectionOrder::Run(run) => ConnectionChange::Finished(run.id, RunOutcome::NotSent),
-            ConnectionOrder::Describe(order) => {
-                ConnectionChange::Described(order.id, DescribeOutcome::NotSent)
+    commands.close();
+    while let Some(command) = commands.recv().await {
+        let change = match command {
+            ConnectionCommand::Run(run) => ConnectionChange::Finished(run.id, RunOutcome::NotSent),
+            ConnectionCommand::Describe(command) => {
+                ConnectionChange::Described(command.id, DescribeOutcome::NotSent)
             }
-            ConnectionOrder::Ping | ConnectionOrder::Cancel => continue,
+            ConnectionCommand::Ping | ConnectionCommand::Cancel => continue,
         };
         let id = target.id;
         if events.send(ConnectionEvent { id, change }).await.is_err() {
@@ -321,8 +321,8 @@
 /// and cancel the next statement.
 async fn run_statement(
     client: &Client,
-    run: RunOrder,
-    orders: &mut mpsc::Receiver<ConnectionOrder>,
+    run: RunCommand,
+    commands: &mut mpsc::Receiver<ConnectionCommand>,
 ) -> (RunOutcome, bool) {
     if client.is_closed() {
         return (RunOutcome::NotSent, false);
@@ -337,8 +337,8 @@
     let outcome = loop {
         tokio::select! {
             answered = &mut answering => break answered.unwrap_or(RunOutcome::Silent),
-            order = orders.recv(), if !cancelled => match order {
-                Some(ConnectionOrder::Cancel) => {
+            command = commands.recv(), if !cancelled => match command {
+                Some(ConnectionCommand::Cancel) => {
                     cancelled = true;
                     let _ = client.cancel_token().cancel_query(NoTls).await;
                 }
@@ -353,8 +353,8 @@
 }
 
 /// Describes one statement; returns the outcome and whether the connection can be used again.
-async fn describe_statement(client: &Client, order: &DescribeOrder) -> (DescribeOutcome, bool) {
-    let answered = timeout(order.limit, prepare_statement(client, order)).await;
+async fn describe_statement(client: &Client, command: &DescribeCommand) -> (DescribeOutcome, bool) {
+    let answered = timeout(command.limit, prepare_statement(client, command)).await;
     let outcome = answered.unwrap_or(DescribeOutcome::Lost);
     let reusable = matches!(
         outcome,
@@ -366,10 +366,10 @@
 /// Has the endpoint prepare a statement, with the parameter types with which it would be run.
 ///
 /// As for a statement that runs, the echo proves that the description belongs to the statement.
-async fn prepare_statement(client: &Client, order: &DescribeOrder) -> DescribeOutcome {
-    let types = vec![Type::TEXT; order.parameters];
-    let echo_text = format!("show ragwort_position {}", order.id);
-    let preparing = client.prepare_typed(&order.text, &types);
+async fn prepare_statement(client: &Client, command: &DescribeCommand) -> DescribeOutcome {
+    let types = vec![Type::TEXT; command.parameters];
+    let echo_text = format!("show ragwort_position {}", command.id);
+    let preparing = client.prepare_typed(&command.text, &types);
     let (prepared, echo) = tokio::join!(preparing, client.simple_query(&echo_text));
     let outcome = match prepared {
         Ok(statement) => DescribeOutcome::Shape(StatementShape {
@@ -384,7 +384,7 @@
     };
     match echo {
         Ok(messages) => match read_echo(&messages) {
-            Some((id, _)) if id == order.id.to_string() => outcome,
+            Some((id, _)) if id == command.id.to_string() => outcome,
             _ => DescribeOutcome::Lost,
         },
         // Within a failed transaction a database refuses everything but a rollback, also the echo.
@@ -393,7 +393,7 @@
     }
 }
 
-async fn answer_statement(client: &Client, run: &RunOrder) -> RunOutcome {
+async fn answer_statement(client: &Client, run: &RunCommand) -> RunOutcome {
     let echo_text = format!("show ragwort_position {}", run.id);
     let (answer, echo) = match &run.parameters {
         None => {
--- a/crates/daemon/src/control/documents.rs
+++ b/crates/daemon/src/control/documents.rs
@@ -1,7 +1,7 @@
 //! Reads the newest configuration document.
 
 use super::ControlTask;
-use super::event::DocumentQuestion;
+use super::event::DocumentRequest;
 use super::event::UnconfirmedRead;
 use jsonrpsee_ws_client::WsClient;
 use ragwort_rpc::PeerApiClient;
@@ -18,7 +18,7 @@
     /// that has been replaced on the other side.
     pub(super) fn read_document(
         &mut self,
-        question: DocumentQuestion,
+        request: DocumentRequest,
         reply: oneshot::Sender<DocumentReadReply>,
     ) {
         if let Ok(ticket) = self.node.confirm_read() {
@@ -26,7 +26,7 @@
             self.pending_reads.insert(ticket, read);
             return;
         }
-        let direct = question == DocumentQuestion::Direct;
+        let direct = request == DocumentRequest::Direct;
         let Some(address) = self.leader_address().filter(|_| direct) else {
             let _ = reply.send(DocumentReadReply::Unsure);
             return;
--- a/crates/daemon/src/control/event.rs
+++ b/crates/daemon/src/control/event.rs
@@ -29,24 +29,24 @@
 #[derive(Debug)]
 pub enum ControlEvent {
     /// A peer's message of the agreed log.
-    Agree(AgreementEnvelope),
+    PeerMessage(AgreementEnvelope),
     /// Commits a command.
     Propose(CommandRequest, oneshot::Sender<CommandReply>),
     /// A member's heartbeat.
     Heartbeat(HeartbeatRequest, oneshot::Sender<HeartbeatReply>),
     /// Heartbeats that a follower has forwarded.
-    Batch(HeartbeatBatch, oneshot::Sender<Vec<HeartbeatReply>>),
+    ForwardedHeartbeats(HeartbeatBatch, oneshot::Sender<Vec<HeartbeatReply>>),
     /// Returns how far a contract change is in force; `None` if this VM doesn't lead.
-    Force(ContractAcceptance, oneshot::Sender<Option<InForceStatus>>),
+    InForceQuery(ContractAcceptance, oneshot::Sender<Option<InForceStatus>>),
     /// Returns which voter this VM is.
     Identity(oneshot::Sender<ControlIdentity>),
     /// Returns the next piece of the catalog for a member, packed.
     ReadCatalog(PieceRequest, oneshot::Sender<Arc<str>>),
     /// Addresses of other control VMs.
-    Learned(Vec<ControlPeer>),
+    PeersLearned(Vec<ControlPeer>),
     /// Returns the newest document; a follower asks the leader unless the request was already
     /// forwarded.
-    ReadDocument(DocumentQuestion, oneshot::Sender<DocumentReadReply>),
+    ReadDocument(DocumentRequest, oneshot::Sender<DocumentReadReply>),
     /// Forms the first voter set.
     Form(Vec<MemberId>, oneshot::Sender<bool>),
     /// Returns the role's state for an operator's dump.
@@ -58,11 +58,11 @@
 
 /// Whether a request for the newest document was forwarded by another control VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DocumentQuestion {
+pub enum DocumentRequest {
     /// It comes from outside and may be forwarded to the leader.
     Direct,
     /// It was forwarded, and is answered here or refused.
-    PassedOn,
+    Forwarded,
 }
 
 /// A heartbeat that waits for its reply.
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -17,7 +17,7 @@
 
 pub use event::ControlEvent;
 pub use event::ControlFault;
-pub use event::DocumentQuestion;
+pub use event::DocumentRequest;
 
 use crate::clock::NodeClock;
 use crate::disk::LogFile;
@@ -233,17 +233,17 @@
 
     fn handle_event(&mut self, event: ControlEvent) {
         match event {
-            ControlEvent::Agree(envelope) => self.handle_envelope(&envelope),
+            ControlEvent::PeerMessage(envelope) => self.handle_envelope(&envelope),
             ControlEvent::Propose(request, reply) => self.handle_command(request, reply),
             ControlEvent::Heartbeat(request, reply) => self.gather_heartbeat(request, reply),
-            ControlEvent::Batch(batch, reply) => {
+            ControlEvent::ForwardedHeartbeats(batch, reply) => {
                 for request in &batch.heartbeats {
                     self.note_nonmember(request);
                 }
                 self.unconfirmed_batches
                     .push(UnconfirmedBatch::Forwarded(batch, reply));
             }
-            ControlEvent::Force(acceptance, reply) => {
+            ControlEvent::InForceQuery(acceptance, reply) => {
                 let _ = reply.send(self.in_force_status(acceptance));
             }
             ControlEvent::Identity(reply) => {
@@ -254,8 +254,8 @@
                     let _ = reply.send(piece);
                 }
             }
-            ControlEvent::Learned(known) => self.learn_peers(known),
-            ControlEvent::ReadDocument(question, reply) => self.read_document(question, reply),
+            ControlEvent::PeersLearned(known) => self.learn_peers(known),
+            ControlEvent::ReadDocument(request, reply) => self.read_document(request, reply),
             ControlEvent::Form(voters, reply) => {
                 let _ = reply.send(self.form(&voters));
             }
--- a/crates/daemon/src/descriptors.rs
+++ b/crates/daemon/src/descriptors.rs
@@ -75,17 +75,17 @@
     }
 
     /// Counts a descriptor until the returned guard is dropped.
-    pub fn hold(&self, purpose: DescriptorUse) -> DescriptorHold {
+    pub fn hold(&self, purpose: DescriptorUse) -> DescriptorGuard {
         let gauge = self.0.held[purpose as usize].clone();
         gauge.inc();
-        DescriptorHold(gauge)
+        DescriptorGuard(gauge)
     }
 
     /// Counts an endpoint to which connections may be opened until the returned guard is dropped.
-    pub fn serve_endpoint(&self) -> DescriptorHold {
+    pub fn count_endpoint(&self) -> DescriptorGuard {
         let gauge = self.0.endpoints.clone();
         gauge.inc();
-        DescriptorHold(gauge)
+        DescriptorGuard(gauge)
     }
 
     /// Returns how many descriptors are held for a use.
@@ -141,9 +141,9 @@
 
 /// A guard that counts one descriptor, or one endpoint, until it is dropped.
 #[derive(Debug)]
-pub struct DescriptorHold(Gauge);
+pub struct DescriptorGuard(Gauge);
 
-impl Drop for DescriptorHold {
+impl Drop for DescriptorGuard {
     fn drop(&mut self) {
         self.0.dec();
     }
--- a/crates/daemon/src/edges/callers.rs
+++ b/crates/daemon/src/edges/callers.rs
@@ -106,7 +106,7 @@
     /// The session is open.
     Opened,
     /// The session was refused or ended by an error; the connection is closed.
-    Turned(CallerError),
+    Fatal(CallerError),
     /// A statement succeeded.
     Complete {
         /// The rows.
--- a/crates/daemon/src/edges/services.rs
+++ b/crates/daemon/src/edges/services.rs
@@ -64,14 +64,14 @@
 
     /// Forwards an endpoint's announcement to the VMs that serve its group.
     pub async fn announce(&self, announcement: EndpointAnnouncement) -> AnnouncementReply {
-        self.routes.spread_announcement(announcement).await
+        self.routes.distribute_announcement(announcement).await
     }
 
     /// Records an announcement that was refused because it names no usable endpoint.
     ///
     /// Any sender can cause these in any number, so only every hundredth is logged; the
     /// metrics count all.
-    pub fn note_refused_announcement(&self, fault: &str) {
+    pub fn record_refused_announcement(&self, fault: &str) {
         let refused = self.metrics.count_refused_announcement();
         if refused % REFUSALS_PER_LOG_LINE == 1 {
             log_event!(
--- a/crates/daemon/src/formation.rs
+++ b/crates/daemon/src/formation.rs
@@ -101,7 +101,7 @@
             .collect();
         let known = found.iter().flat_map(FoundPeer::to_peers).collect();
         // The control role ends only when the daemon ends.
-        let _ = self.control.send(ControlEvent::Learned(known)).await;
+        let _ = self.control.send(ControlEvent::PeersLearned(known)).await;
         self.form(own, &found).await;
     }
 
--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -15,7 +15,7 @@
 use crate::peers::PeerLinks;
 use crate::relay_gateways::MAX_RELAY_GATEWAYS;
 use crate::relay_gateways::list_relay_gateways;
-use crate::statements::links::CallSort;
+use crate::statements::links::CallKind;
 use crate::statements::links::StatementLinks;
 use jsonrpsee_ws_client::WsClient;
 use log::Level;
@@ -573,18 +573,18 @@
         limit: Duration,
         relayed: bool,
     ) -> Result<StatementReply, LinkError> {
-        let sort = match relayed {
-            true => CallSort::Relay,
-            false => CallSort::Execute,
+        let kind = match relayed {
+            true => CallKind::Relay,
+            false => CallKind::Execute,
         };
         if let Some(address) = peer.statements {
             let links = &self.links.statements;
-            return links.call(address, sort, request, limit).await;
+            return links.call(address, kind, request, limit).await;
         }
         let call = |client: Arc<WsClient>| async move {
-            match sort {
-                CallSort::Execute => client.execute(request).await,
-                CallSort::Relay => client.relay(request).await,
+            match kind {
+                CallKind::Execute => client.execute(request).await,
+                CallKind::Relay => client.relay(request).await,
             }
         };
         self.links.peers.call(peer.calls, limit, call).await
@@ -656,7 +656,7 @@
 /// The gateway has checked the caller's key. A gateway without a lease may not know the newest
 /// accounts, so it sends the key's digest along, which is checked here: otherwise such a gateway
 /// would go on serving a key that was revoked long ago.
-pub fn is_caller_taken(
+pub fn is_caller_admitted(
     copy: &CatalogCopy,
     contract: &CustomerContract,
     request: &StatementRequest,
@@ -677,7 +677,7 @@
 
 /// Returns the moment by which the leaseholder that received a statement at `arrived` should answer
 /// it to meet the latency target of its kind; `None` if the kind has none.
-pub fn find_target(
+pub fn find_latency_target(
     arrived: ClockTime,
     terms: &KindTerms,
     request: &StatementRequest,
--- a/crates/daemon/src/group/describing.rs
+++ b/crates/daemon/src/group/describing.rs
@@ -11,9 +11,9 @@
 use super::intake::StatementOrigin;
 use super::intake::hash_text;
 use crate::callers::StatementScan;
+use crate::connection::ConnectionCommand;
 use crate::connection::ConnectionId;
-use crate::connection::ConnectionOrder;
-use crate::connection::DescribeOrder;
+use crate::connection::DescribeCommand;
 use crate::connection::DescribeOutcome;
 use ragwort_control::ClockTime;
 use ragwort_policy::ArrivalDecision;
@@ -139,15 +139,15 @@
             None => self.pool.find_idle(&order.instance),
         };
         let text = &shape.request.text;
-        let describe = DescribeOrder {
+        let describe = DescribeCommand {
             id: shape.request.id,
             text: text.clone(),
             parameters: StatementScan::new(text).parameters,
             limit: shape.deadline.since(now).min(DESCRIBE_TIMEOUT),
         };
         let sent = id.and_then(|id| self.pool.connection(id)).filter(|held| {
-            let order = ConnectionOrder::Describe(describe);
-            held.send(order)
+            let command = ConnectionCommand::Describe(describe);
+            held.send(command)
         });
         match sent {
             Some(connection) => connection.running = Some(order.ticket),
--- a/crates/daemon/src/group/dispatch.rs
+++ b/crates/daemon/src/group/dispatch.rs
@@ -8,8 +8,8 @@
 use super::request::ActiveRequest;
 use super::request::KeyedRequest;
 use super::request::RequestStage;
-use crate::connection::ConnectionOrder;
-use crate::connection::RunOrder;
+use crate::connection::ConnectionCommand;
+use crate::connection::RunCommand;
 use ragwort_policy::AbandonEffect;
 use ragwort_policy::DispatchOrder;
 use ragwort_policy::FinishDecision;
@@ -114,13 +114,13 @@
         {
             journal.confirm_dispatch(&active.request.customer, key);
         }
-        let order = RunOrder {
+        let command = RunCommand {
             id: active.request.id,
             text: active.request.text.clone(),
             parameters: active.request.parameters.clone(),
             until: Instant::now() + active.deadline.since(now),
         };
-        if !connection.send(ConnectionOrder::Run(order)) {
+        if !connection.send(ConnectionCommand::Run(command)) {
             self.return_request(ticket, FinishOutcome::NotRun, RefusalCause::EndpointRefused);
             return;
         }
@@ -284,7 +284,7 @@
         match stage {
             Some(RequestStage::Running(connection)) => {
                 if let Some(held) = self.pool.connection(connection) {
-                    held.unusable |= held.send(ConnectionOrder::Cancel);
+                    held.unusable |= held.send(ConnectionCommand::Cancel);
                 }
             }
             Some(RequestStage::Waiting)
--- a/crates/daemon/src/group/intake.rs
+++ b/crates/daemon/src/group/intake.rs
@@ -7,9 +7,9 @@
 use super::request::RequestStage;
 use super::request::ResendWaiter;
 use crate::gateway::find_deadline;
-use crate::gateway::find_target;
+use crate::gateway::find_latency_target;
 use crate::gateway::find_terms;
-use crate::gateway::is_caller_taken;
+use crate::gateway::is_caller_admitted;
 use crate::gateway::reply_with;
 use crate::log_event;
 use log::Level;
@@ -124,7 +124,7 @@
         let view = self.view.borrow();
         let contract = view.copy.contract(&request.customer);
         let accepted =
-            contract.is_some_and(|held| is_caller_taken(&view.copy, &held.contract, request));
+            contract.is_some_and(|held| is_caller_admitted(&view.copy, &held.contract, request));
         match accepted {
             true => Ok(()),
             false => Err(AdmissionRefusal::new(RefusalCause::UnknownKey)),
@@ -331,7 +331,7 @@
             min_position: required.unwrap_or_default(),
             max_age: Duration::from_millis(active.terms.max_age_ms),
             deadline: active.deadline,
-            target: find_target(active.arrived, &active.terms, &active.request),
+            target: find_latency_target(active.arrived, &active.terms, &active.request),
             step,
         }
     }
--- a/crates/daemon/src/group/outcomes.rs
+++ b/crates/daemon/src/group/outcomes.rs
@@ -42,7 +42,7 @@
                 self.handle_described(id, outcome);
                 self.drop_unusable_connection(event.id);
             }
-            ConnectionChange::Proven => self.handle_ping_answer(event.id),
+            ConnectionChange::PingAnswered => self.handle_ping_answer(event.id),
             ConnectionChange::Closed => self.handle_closed(event.id),
         }
     }
--- a/crates/daemon/src/group/pool.rs
+++ b/crates/daemon/src/group/pool.rs
@@ -4,12 +4,12 @@
 use super::GroupContext;
 use super::notice::AgentReport;
 use super::notice::GroupNotice;
+use crate::connection::ConnectionCommand;
 use crate::connection::ConnectionEvent;
 use crate::connection::ConnectionId;
-use crate::connection::ConnectionOrder;
 use crate::connection::ConnectionTarget;
 use crate::connection::spawn_connection;
-use crate::descriptors::DescriptorHold;
+use crate::descriptors::DescriptorGuard;
 use crate::descriptors::DescriptorUse;
 use jsonrpsee_ws_client::WsClient;
 use ragwort_control::ClockTime;
@@ -49,7 +49,7 @@
     /// When the last announcement arrived.
     pub announced_at: ClockTime,
     watcher: AbortHandle,
-    _hold: DescriptorHold,
+    _guard: DescriptorGuard,
 }
 
 /// A connection in the pool.
@@ -70,7 +70,7 @@
     pub awaiting_ping: bool,
     /// Whether its endpoint has been removed; the scheduler no longer counts the connection.
     pub retired: bool,
-    orders: mpsc::Sender<ConnectionOrder>,
+    commands: mpsc::Sender<ConnectionCommand>,
 }
 
 impl PoolConnection {
@@ -79,9 +79,9 @@
         self.open && !self.unusable && !self.awaiting_ping && !in_use
     }
 
-    /// Sends an order to the connection's task and returns whether it was accepted.
-    pub fn send(&self, order: ConnectionOrder) -> bool {
-        self.orders.try_send(order).is_ok()
+    /// Sends a command to the connection's task and returns whether it was accepted.
+    pub fn send(&self, command: ConnectionCommand) -> bool {
+        self.commands.try_send(command).is_ok()
     }
 }
 
@@ -151,7 +151,7 @@
             announcement,
             announced_at,
             watcher,
-            _hold: self.context.descriptors.serve_endpoint(),
+            _guard: self.context.descriptors.count_endpoint(),
         };
         self.endpoints.insert(instance, entry);
         true
@@ -211,12 +211,12 @@
             idle_ping: Duration::from_millis(timing.idle_ping_ms),
             ping_timeout: Duration::from_millis(timing.probe_timeout_ms) * PING_TIMEOUT_PROBES,
         };
-        let hold = self.context.descriptors.hold(DescriptorUse::Endpoints);
-        let (orders, task) = spawn_connection(target, self.events.clone());
+        let guard = self.context.descriptors.hold(DescriptorUse::Endpoints);
+        let (commands, task) = spawn_connection(target, self.events.clone());
         self.children.spawn(async move {
             // The panic hook has logged a task's panic.
             let _ = task.await;
-            drop(hold);
+            drop(guard);
         });
         let connection = PoolConnection {
             instance: instance.clone(),
@@ -226,7 +226,7 @@
             unusable: false,
             awaiting_ping: false,
             retired: false,
-            orders,
+            commands,
         };
         self.connections.insert(id, connection);
         true
@@ -288,7 +288,7 @@
         let all = self.connections.values_mut();
         let mut count = 0;
         for connection in all.filter(|one| one.instance == *instance && one.is_idle()) {
-            if connection.send(ConnectionOrder::Ping) {
+            if connection.send(ConnectionCommand::Ping) {
                 connection.awaiting_ping = true;
                 count += 1;
             }
--- a/crates/daemon/src/handover_plans.rs
+++ b/crates/daemon/src/handover_plans.rs
@@ -18,16 +18,16 @@
 #[derive(Debug, Default)]
 pub struct HandoverPlans {
     due: Vec<GroupPlacement>,
-    nearer: Vec<GroupPlacement>,
-    nearer_while_unused: Vec<GroupPlacement>,
+    closer: Vec<GroupPlacement>,
+    closer_while_unused: Vec<GroupPlacement>,
 }
 
 impl HandoverPlans {
     fn plan(copy: &CatalogCopy, vm: &VmName) -> Self {
         Self {
             due: plan_handovers(copy, vm),
-            nearer: plan_moves_to_endpoints(copy, vm, false),
-            nearer_while_unused: plan_moves_to_endpoints(copy, vm, true),
+            closer: plan_moves_to_endpoints(copy, vm, false),
+            closer_while_unused: plan_moves_to_endpoints(copy, vm, true),
         }
     }
 
@@ -39,10 +39,10 @@
 
     /// Returns the placement that a group should get because its endpoints are far from its VM;
     /// `unused` says that it has served nothing yet.
-    pub fn nearer(&self, group: &GroupName, unused: bool) -> Option<&GroupPlacement> {
+    pub fn closer_placement(&self, group: &GroupName, unused: bool) -> Option<&GroupPlacement> {
         let plans = match unused {
-            true => &self.nearer_while_unused,
-            false => &self.nearer,
+            true => &self.closer_while_unused,
+            false => &self.closer,
         };
         find_plan(plans, group)
     }
--- a/crates/daemon/src/member.rs
+++ b/crates/daemon/src/member.rs
@@ -61,7 +61,7 @@
     /// Whether this VM is shutting down.
     pub draining: bool,
     /// The number of changes of the catalog copy that may change which callers are accepted.
-    pub caller_changes: u64,
+    pub admission_changes: u64,
 }
 
 impl MemberView {
@@ -344,7 +344,7 @@
         self.view.send_modify(|view| {
             view.copy = copy;
             view.draining = *self.draining.borrow();
-            view.caller_changes += u64::from(callers);
+            view.admission_changes += u64::from(callers);
             renewed = view.lease.renew(sent, grant, held);
         });
         let grant = LeaseGrant {
@@ -363,7 +363,7 @@
         let pending_grant = self.pending_grant.take();
         self.view.send_modify(|view| {
             view.copy = Arc::new(copy);
-            view.caller_changes += 1;
+            view.admission_changes += 1;
             if let Some(PendingGrant { sent, grant }) = &pending_grant {
                 view.lease.renew(*sent, grant, held);
             }
--- a/crates/daemon/src/native/handover.rs
+++ b/crates/daemon/src/native/handover.rs
@@ -103,7 +103,7 @@
         let plans = self.context.handovers.plan(&copy, vm);
         let unused = self.last_ticket == 0;
         let due = plans.due(&self.group);
-        let Some(plan) = due.or_else(|| plans.nearer(&self.group, unused)) else {
+        let Some(plan) = due.or_else(|| plans.closer_placement(&self.group, unused)) else {
             return;
         };
         log_event!(
--- a/crates/daemon/src/native/intake.rs
+++ b/crates/daemon/src/native/intake.rs
@@ -6,9 +6,9 @@
 use super::pool::digest_account;
 use super::request::NativeRequest;
 use crate::gateway::find_deadline;
-use crate::gateway::find_target;
+use crate::gateway::find_latency_target;
 use crate::gateway::find_terms;
-use crate::gateway::is_caller_taken;
+use crate::gateway::is_caller_admitted;
 use crate::gateway::reply_with;
 use crate::group::hash_text;
 use ragwort_control::ClockTime;
@@ -111,7 +111,7 @@
         let allowed = contract.filter(|contract| contract.groups.contains(&self.group));
         let terms = allowed.and_then(|contract| find_terms(contract, &request.marks));
         let terms = terms.ok_or(RefusalCause::Contract)?;
-        match allowed.is_some_and(|contract| is_caller_taken(&view.copy, contract, request)) {
+        match allowed.is_some_and(|contract| is_caller_admitted(&view.copy, contract, request)) {
             true => Ok(terms),
             false => Err(RefusalCause::UnknownKey),
         }
@@ -207,7 +207,7 @@
             min_position: active.min_position,
             max_age: find_age(&active.terms),
             deadline: active.deadline,
-            target: find_target(active.arrived, &active.terms, &active.request),
+            target: find_latency_target(active.arrived, &active.terms, &active.request),
             step,
         }
     }
--- a/crates/daemon/src/native/link.rs
+++ b/crates/daemon/src/native/link.rs
@@ -9,7 +9,7 @@
 use crate::edges::EndpointEnd;
 use crate::edges::EndpointMessage;
 use crate::edges::EndpointProtocol;
-use crate::shortage::note_shortage;
+use crate::shortage::record_shortage;
 use crate::sockets::tune_stream;
 use bytes::BytesMut;
 use ragwort_types::AccountName;
@@ -277,7 +277,7 @@
 }
 
 fn cause_of_error(error: &io::Error) -> CloseCause {
-    match note_shortage(error) {
+    match record_shortage(error) {
         true => CloseCause::Exhausted,
         false => CloseCause::Refused,
     }
--- a/crates/daemon/src/native/outcomes.rs
+++ b/crates/daemon/src/native/outcomes.rs
@@ -197,7 +197,7 @@
         address: SocketAddr,
         cause: CloseCause,
     ) {
-        // A shortage on this VM, logged by `note_shortage`, says nothing about the endpoint.
+        // A shortage on this VM, logged by `record_shortage`, says nothing about the endpoint.
         if cause == CloseCause::Exhausted {
             if let Some(endpoint) = self.pool.endpoint_mut(instance) {
                 endpoint.probe_started = None;
--- a/crates/daemon/src/native/pool.rs
+++ b/crates/daemon/src/native/pool.rs
@@ -10,7 +10,7 @@
 use super::link::LinkTarget;
 use super::link::spawn_link;
 use crate::descriptors::DescriptorBudget;
-use crate::descriptors::DescriptorHold;
+use crate::descriptors::DescriptorGuard;
 use crate::descriptors::DescriptorUse;
 use crate::edges::EndpointProtocol;
 use ragwort_control::ClockTime;
@@ -47,7 +47,7 @@
     pub(super) probe_started: Option<ClockTime>,
     /// Its last refusal of a connection because of its connection limit.
     pub(super) full: Option<FullEndpoint>,
-    _hold: DescriptorHold,
+    _guard: DescriptorGuard,
 }
 
 /// An endpoint's refusal of a connection because of its connection limit.
@@ -217,7 +217,7 @@
                     failed_opens: 0,
                     probe_started: None,
                     full: None,
-                    _hold: self.descriptors.serve_endpoint(),
+                    _guard: self.descriptors.count_endpoint(),
                 };
                 self.endpoints.insert(instance, endpoint);
             }
@@ -273,12 +273,12 @@
             open_limit: self.open_limit,
             protocol: Arc::clone(&self.protocol),
         };
-        let hold = self.descriptors.hold(DescriptorUse::Endpoints);
+        let guard = self.descriptors.hold(DescriptorUse::Endpoints);
         let (orders, task) = spawn_link(target, self.events.clone());
         self.children.spawn(async move {
             // A panic of the task was logged by the panic hook.
             let _ = task.await;
-            drop(hold);
+            drop(guard);
         });
         let connection = NativeConnection {
             instance: instance.clone(),
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -198,7 +198,7 @@
         copy: Arc::new(CatalogCopy::new()),
         lease: MemberLease::new(),
         draining: false,
-        caller_changes: 0,
+        admission_changes: 0,
     });
     let clock = NodeClock::start();
     let connect_timeout = Duration::from_millis(settings.timing.connect_timeout_ms);
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -5,10 +5,10 @@
 
 use crate::connecting::connect_stream;
 use crate::descriptors::DescriptorBudget;
-use crate::descriptors::DescriptorHold;
+use crate::descriptors::DescriptorGuard;
 use crate::descriptors::DescriptorUse;
 use crate::log_event;
-use crate::shortage::note_shortage;
+use crate::shortage::record_shortage;
 use jsonrpsee::core::client::ClientT;
 use jsonrpsee::core::client::Error as ClientError;
 use jsonrpsee::rpc_params;
@@ -110,7 +110,7 @@
     client: Arc<WsClient>,
     /// The instance whose agent has identified itself on this link.
     verified: Option<InstanceIdentity>,
-    _hold: Option<DescriptorHold>,
+    _guard: Option<DescriptorGuard>,
 }
 
 impl PeerLinks {
@@ -232,7 +232,7 @@
         *link = Some(OpenLink {
             client: Arc::clone(&client),
             verified: expected.cloned(),
-            _hold: descriptors.map(|budget| budget.hold(DescriptorUse::Peers)),
+            _guard: descriptors.map(|budget| budget.hold(DescriptorUse::Peers)),
         });
         Ok(client)
     }
@@ -310,7 +310,7 @@
 pub async fn probe_accept(address: SocketAddr, limit: Duration) -> Result<(), ProbeOutcome> {
     match timeout(limit, TcpStream::connect(address)).await {
         Ok(Ok(_)) => Ok(()),
-        Ok(Err(error)) if note_shortage(&error) => Err(ProbeOutcome::Untried),
+        Ok(Err(error)) if record_shortage(&error) => Err(ProbeOutcome::Untried),
         Ok(Err(_)) => Err(ProbeOutcome::Refused),
         Err(_) => Err(ProbeOutcome::Silent),
     }
@@ -356,7 +356,7 @@
 
 impl From<io::Error> for OpenError {
     fn from(error: io::Error) -> Self {
-        match note_shortage(&error) {
+        match record_shortage(&error) {
             true => Self::Exhausted,
             false => Self::Client(ClientError::Transport(error.into())),
         }
--- a/crates/daemon/src/server.rs
+++ b/crates/daemon/src/server.rs
@@ -4,7 +4,7 @@
 //! answer.
 
 use crate::control::ControlEvent;
-use crate::control::DocumentQuestion;
+use crate::control::DocumentRequest;
 use crate::directory::ControlDirectory;
 use crate::dump::NodeDump;
 use crate::gateway::Gateway;
@@ -250,8 +250,8 @@
         if self.control.is_none() {
             return self.ask_for_document().await;
         }
-        let question = DocumentQuestion::Direct;
-        let asking = self.ask_control(|reply| ControlEvent::ReadDocument(question, reply));
+        let request = DocumentRequest::Direct;
+        let asking = self.ask_control(|reply| ControlEvent::ReadDocument(request, reply));
         match timeout(OPERATOR_LIMIT, asking).await {
             Ok(Ok(reading)) => reading,
             Ok(Err(_)) | Err(_) => DocumentReadReply::Unsure,
@@ -274,7 +274,7 @@
     /// An endpoint may announce itself to any VM. Only the group's leaseholder can keep work away
     /// from a leaving endpoint, so the reply says whether the leaseholder has received the
     /// announcement.
-    pub async fn spread_announcement(
+    pub async fn distribute_announcement(
         &self,
         announcement: EndpointAnnouncement,
     ) -> AnnouncementReply {
@@ -361,7 +361,7 @@
 
 #[async_trait]
 impl StatementRunner for ServerRoutes {
-    async fn run_here(&self, request: StatementRequest) -> Option<StatementReply> {
+    async fn run_locally(&self, request: StatementRequest) -> Option<StatementReply> {
         // A transaction counts as one operation of its account, however many statements it has.
         let begins = matches!(
             request.step,
@@ -383,7 +383,7 @@
         reply
     }
 
-    async fn bring_on(&self, request: StatementRequest) -> StatementReply {
+    async fn relay_statement(&self, request: StatementRequest) -> StatementReply {
         self.gateway.relay(request).await
     }
 }
@@ -391,7 +391,7 @@
 #[async_trait]
 impl PeerApiServer for ServerRoutes {
     async fn execute(&self, request: StatementRequest) -> RpcResult<StatementReply> {
-        self.run_here(request).await.ok_or_else(stopping)
+        self.run_locally(request).await.ok_or_else(stopping)
     }
 
     async fn relay(&self, request: StatementRequest) -> RpcResult<StatementReply> {
@@ -439,7 +439,7 @@
     }
 
     async fn heartbeat_batch(&self, batch: HeartbeatBatch) -> RpcResult<Vec<HeartbeatReply>> {
-        self.ask_control(|reply| ControlEvent::Batch(batch, reply))
+        self.ask_control(|reply| ControlEvent::ForwardedHeartbeats(batch, reply))
             .await
     }
 
@@ -450,7 +450,7 @@
 
     async fn agree(&self, envelope: AgreementEnvelope) -> RpcResult<()> {
         let control = self.control.as_ref().ok_or_else(not_control)?;
-        let sent = control.send(ControlEvent::Agree(envelope)).await;
+        let sent = control.send(ControlEvent::PeerMessage(envelope)).await;
         sent.map_err(|_| stopping())
     }
 
@@ -462,7 +462,7 @@
     }
 
     async fn leader_document(&self) -> RpcResult<DocumentReadReply> {
-        self.ask_control(|reply| ControlEvent::ReadDocument(DocumentQuestion::PassedOn, reply))
+        self.ask_control(|reply| ControlEvent::ReadDocument(DocumentRequest::Forwarded, reply))
             .await
     }
 
@@ -485,7 +485,7 @@
         &self,
         acceptance: ContractAcceptance,
     ) -> RpcResult<Option<InForceStatus>> {
-        self.ask_control(|reply| ControlEvent::Force(acceptance, reply))
+        self.ask_control(|reply| ControlEvent::InForceQuery(acceptance, reply))
             .await
     }
 
@@ -530,7 +530,7 @@
     async fn in_force_status(&self, acceptance: ContractAcceptance) -> RpcResult<InForceStatus> {
         if self.control.is_some()
             && let Some(status) = self
-                .ask_control(|reply| ControlEvent::Force(acceptance, reply))
+                .ask_control(|reply| ControlEvent::InForceQuery(acceptance, reply))
                 .await?
         {
             return Ok(status);
--- a/crates/daemon/src/service.rs
+++ b/crates/daemon/src/service.rs
@@ -5,7 +5,7 @@
 
 use crate::callers::DescribeReply;
 use crate::callers::DescribeRequest;
-use crate::callers::SessionOpening;
+use crate::callers::SessionIdentity;
 use crate::callers::SessionRefusal;
 use crate::callers::StatementService;
 use crate::clock::NodeClock;
@@ -220,7 +220,7 @@
         Ok(caller)
     }
 
-    fn takes(&self, database: &CustomerName, caller: &SessionCaller) -> bool {
+    fn still_admits(&self, database: &CustomerName, caller: &SessionCaller) -> bool {
         let view = self.view.borrow();
         match (&caller.account, &caller.digest) {
             (Some(account), Some(digest)) => {
@@ -234,15 +234,15 @@
         }
     }
 
-    fn caller_changes(&self) -> u64 {
-        self.view.borrow().caller_changes
+    fn admission_changes(&self) -> u64 {
+        self.view.borrow().admission_changes
     }
 
     fn release(&self, database: &CustomerName) {
         self.uncount_session(database);
     }
 
-    fn sends_sessions_away(&self, notice: Duration) -> bool {
+    fn should_move_sessions(&self, notice: Duration) -> bool {
         self.gateway.is_isolated_for(notice)
     }
 
@@ -263,10 +263,10 @@
 
 #[async_trait]
 impl StatementService for GatewayService {
-    fn open_session(&self, opening: &SessionOpening) -> Result<(), SessionRefusal> {
+    fn open_session(&self, identity: &SessionIdentity) -> Result<(), SessionRefusal> {
         let view = self.view.borrow();
-        let contract = self.find_contract(&view, &opening.customer)?;
-        if !contract.groups.contains(&opening.group) {
+        let contract = self.find_contract(&view, &identity.customer)?;
+        if !contract.groups.contains(&identity.group) {
             return Err(SessionRefusal::UnknownGroup);
         }
         // This protocol carries no account key.
@@ -276,8 +276,8 @@
         self.count_session(contract)
     }
 
-    fn close_session(&self, opening: &SessionOpening) {
-        self.uncount_session(&opening.customer);
+    fn close_session(&self, identity: &SessionIdentity) {
+        self.uncount_session(&identity.customer);
     }
 
     async fn execute(&self, request: StatementRequest) -> StatementReply {
@@ -294,11 +294,11 @@
     }
 
     async fn describe(&self, request: DescribeRequest) -> DescribeReply {
-        let SessionOpening {
+        let SessionIdentity {
             customer,
             group,
             session,
-        } = request.opening;
+        } = request.identity;
         if let Err(refusal) = self.admit(&group, &customer, &RequestOptions::default()) {
             return DescribeReply::Refused(refusal);
         }
--- a/crates/daemon/src/sessions/edge.rs
+++ b/crates/daemon/src/sessions/edge.rs
@@ -66,7 +66,7 @@
     pub async fn run(self, drain: watch::Receiver<bool>) {
         let (signals, _) = watch::channel(SessionSignals {
             drain: DrainStage::Serve,
-            caller_changes: self.service.caller_changes(),
+            admission_changes: self.service.admission_changes(),
         });
         let mut tasks = JoinSet::new();
         let mut drain = std::pin::pin!(wait_until_true(drain));
@@ -88,7 +88,7 @@
                 }
                 Some(_) = tasks.join_next(), if !tasks.is_empty() => {}
                 _ = check.tick() => {
-                    self.publish_caller_changes(&signals);
+                    self.publish_admission_changes(&signals);
                     if !draining {
                         self.update_isolation(&signals, tasks.len());
                     }
@@ -109,16 +109,16 @@
     }
 
     /// Notifies sessions of changed accounts or contracts, so that each checks its caller's admission.
-    fn publish_caller_changes(&self, signals: &watch::Sender<SessionSignals>) {
-        let present = self.service.caller_changes();
+    fn publish_admission_changes(&self, signals: &watch::Sender<SessionSignals>) {
+        let present = self.service.admission_changes();
         signals.send_if_modified(|signals| {
-            std::mem::replace(&mut signals.caller_changes, present) != present
+            std::mem::replace(&mut signals.admission_changes, present) != present
         });
     }
 
     /// Starts or stops closing idle sessions, as this gateway becomes isolated or reaches others again.
     fn update_isolation(&self, signals: &watch::Sender<SessionSignals>, connections: usize) {
-        let wanted = match self.service.sends_sessions_away(self.isolation_limit) {
+        let wanted = match self.service.should_move_sessions(self.isolation_limit) {
             true => DrainStage::EndIdle,
             false => DrainStage::Serve,
         };
--- a/crates/daemon/src/sessions/mod.rs
+++ b/crates/daemon/src/sessions/mod.rs
@@ -47,7 +47,7 @@
     pub drain: DrainStage,
     /// The number of changes of accounts and contracts so far. On each change every session checks
     /// whether its caller would still be admitted.
-    pub caller_changes: u64,
+    pub admission_changes: u64,
 }
 
 /// Admits sessions and runs their statements. The daemon implements it by its gateway.
@@ -65,17 +65,17 @@
     ) -> Result<SessionCaller, SessionRefusal>;
 
     /// Returns whether the accounts and keys in force still allow a caller that was admitted earlier.
-    fn takes(&self, database: &CustomerName, caller: &SessionCaller) -> bool;
+    fn still_admits(&self, database: &CustomerName, caller: &SessionCaller) -> bool;
 
     /// Returns the number of changes so far of the accounts and contracts that decide on admission.
-    fn caller_changes(&self) -> u64;
+    fn admission_changes(&self) -> u64;
 
     /// Records the end of an admitted session; called exactly once for each.
     fn release(&self, database: &CustomerName);
 
     /// Returns whether this gateway has been isolated for `notice`, without a lease and without a way to
     /// any other gateway, so that sessions should move to another one.
-    fn sends_sessions_away(&self, notice: Duration) -> bool;
+    fn should_move_sessions(&self, notice: Duration) -> bool;
 
     /// Returns the group that serves a database at present.
     fn find_group(&self, database: &CustomerName) -> Option<GroupName>;
--- a/crates/daemon/src/sessions/session.rs
+++ b/crates/daemon/src/sessions/session.rs
@@ -171,7 +171,7 @@
             text: text.to_owned(),
         };
         // The connection ends whether or not the caller receives the reason.
-        let _ = self.socket.send(&CallerAnswer::Turned(error)).await;
+        let _ = self.socket.send(&CallerAnswer::Fatal(error)).await;
         self.socket.close().await;
     }
 
@@ -438,7 +438,7 @@
 impl AdmittedSession {
     /// Returns whether the caller would still be admitted.
     fn is_still_admitted(&self) -> bool {
-        self.service.takes(&self.database, &self.caller)
+        self.service.still_admits(&self.database, &self.caller)
     }
 
     fn account_label(&self) -> &str {
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -253,7 +253,7 @@
     pub fn read_file(path: &Path) -> Result<Self, Vec<SettingFault>> {
         let text = fs::read_to_string(path).map_err(|error| {
             let message = format!("{}: {error}", path.display());
-            vec![SettingFault::without_place(message)]
+            vec![SettingFault::without_position(message)]
         })?;
         Self::from_yaml(&text)
     }
--- a/crates/daemon/src/settings_tree.rs
+++ b/crates/daemon/src/settings_tree.rs
@@ -28,7 +28,7 @@
 
 impl SettingFault {
     /// Creates a fault without a position in the file.
-    pub fn without_place(message: impl Into<String>) -> Self {
+    pub fn without_position(message: impl Into<String>) -> Self {
         Self {
             line: 0,
             column: 0,
@@ -148,7 +148,7 @@
         let message = error.without_snippet().to_string();
         match error.location() {
             Some(location) => SettingFault::at(location, message),
-            None => SettingFault::without_place(message),
+            None => SettingFault::without_position(message),
         }
     })
 }
--- a/crates/daemon/src/shortage.rs
+++ b/crates/daemon/src/shortage.rs
@@ -34,7 +34,7 @@
 
 /// Says whether an error comes from a shortage of this process or VM; if so it is counted, and one
 /// in [`FAILURES_PER_LINE`] is logged.
-pub fn note_shortage(error: &io::Error) -> bool {
+pub fn record_shortage(error: &io::Error) -> bool {
     if !is_local_shortage(error) {
         return false;
     }
--- a/crates/daemon/src/statements/links.rs
+++ b/crates/daemon/src/statements/links.rs
@@ -60,7 +60,7 @@
 
 /// Whether the called VM runs a statement itself or relays it to the leaseholder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallSort {
+pub enum CallKind {
     /// The called VM is the leaseholder of the statement's group.
     Execute,
     /// The called VM can reach the leaseholder, which this VM can't.
@@ -71,7 +71,7 @@
 enum LinkCall {
     /// Makes a call.
     Statement {
-        sort: CallSort,
+        kind: CallKind,
         request: Box<StatementRequest>,
         reply: oneshot::Sender<CallReply>,
     },
@@ -107,13 +107,13 @@
     pub async fn call(
         &self,
         address: SocketAddr,
-        sort: CallSort,
+        kind: CallKind,
         request: StatementRequest,
         limit: Duration,
     ) -> CallReply {
         let (reply, answer) = oneshot::channel();
         let call = LinkCall::Statement {
-            sort,
+            kind,
             request: Box::new(request),
             reply,
         };
@@ -416,7 +416,7 @@
             return refuse(call);
         }
         let LinkCall::Statement {
-            sort,
+            kind,
             request,
             reply,
         } = call
@@ -428,9 +428,9 @@
             return;
         }
         self.last_call += 1;
-        let frame = match sort {
-            CallSort::Execute => StatementFrame::Execute(self.last_call, *request),
-            CallSort::Relay => StatementFrame::Relay(self.last_call, *request),
+        let frame = match kind {
+            CallKind::Execute => StatementFrame::Execute(self.last_call, *request),
+            CallKind::Relay => StatementFrame::Relay(self.last_call, *request),
         };
         if let Err(error) = self.codec.encode(&frame, &mut self.unsent) {
             let _ = reply.send(Err(LinkError::Rejected(error.to_string())));
--- a/crates/daemon/src/statements/server.rs
+++ b/crates/daemon/src/statements/server.rs
@@ -50,10 +50,10 @@
 #[async_trait]
 pub trait StatementRunner: Send + Sync {
     /// Runs a statement on this VM, the group's leaseholder; `None` if it may have run but has no reply.
-    async fn run_here(&self, request: StatementRequest) -> Option<StatementReply>;
+    async fn run_locally(&self, request: StatementRequest) -> Option<StatementReply>;
 
     /// Relays a statement to its leaseholder.
-    async fn bring_on(&self, request: StatementRequest) -> StatementReply;
+    async fn relay_statement(&self, request: StatementRequest) -> StatementReply;
 }
 
 /// Serves gateways until `stop` holds true and all links are closed.
@@ -69,11 +69,11 @@
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
-                    let hold = descriptors.hold(DescriptorUse::StatementLinks);
+                    let guard = descriptors.hold(DescriptorUse::StatementLinks);
                     let serving = serve_link(stream, Arc::clone(&runner), link_stop.clone());
                     connections.spawn(async move {
                         serving.await;
-                        drop(hold);
+                        drop(guard);
                     });
                 }
                 Err(error) => {
@@ -185,7 +185,7 @@
             match self.codec.decode(&mut self.received) {
                 Ok(Some(StatementFrame::Execute(call, request))) => {
                     self.in_flight.push(Box::pin(async move {
-                        match runner.run_here(request).await {
+                        match runner.run_locally(request).await {
                             Some(reply) => StatementFrame::Reply(call, reply),
                             None => StatementFrame::Lost(call),
                         }
@@ -193,7 +193,7 @@
                 }
                 Ok(Some(StatementFrame::Relay(call, request))) => {
                     self.in_flight.push(Box::pin(async move {
-                        StatementFrame::Reply(call, runner.bring_on(request).await)
+                        StatementFrame::Reply(call, runner.relay_statement(request).await)
                     }));
                 }
                 Ok(Some(StatementFrame::Ping)) => self.queue_frame(&StatementFrame::Pong),
--- a/crates/daemon/tests/callers/fake.rs
+++ b/crates/daemon/tests/callers/fake.rs
@@ -16,7 +16,7 @@
 use ragwortgated::callers::CallerLimits;
 use ragwortgated::callers::DescribeReply;
 use ragwortgated::callers::DescribeRequest;
-use ragwortgated::callers::SessionOpening;
+use ragwortgated::callers::SessionIdentity;
 use ragwortgated::callers::SessionRefusal;
 use ragwortgated::callers::StatementService;
 use ragwortgated::callers::StatementShape;
@@ -43,8 +43,8 @@
 #[derive(Default)]
 pub struct Seen {
     pub requests: Vec<StatementRequest>,
-    pub opened: Vec<SessionOpening>,
-    pub closed: Vec<SessionOpening>,
+    pub opened: Vec<SessionIdentity>,
+    pub closed: Vec<SessionIdentity>,
     pub cancelled: Vec<StatementId>,
     pub described: Vec<DescribeRequest>,
 }
@@ -116,18 +116,18 @@
 
 #[async_trait]
 impl StatementService for FakeService {
-    fn open_session(&self, opening: &SessionOpening) -> Result<(), SessionRefusal> {
+    fn open_session(&self, identity: &SessionIdentity) -> Result<(), SessionRefusal> {
         if let Some(refusal) = *self.refusal.lock().unwrap() {
             return Err(refusal);
         }
         self.seen
-            .send_modify(|seen| seen.opened.push(opening.clone()));
+            .send_modify(|seen| seen.opened.push(identity.clone()));
         Ok(())
     }
 
-    fn close_session(&self, opening: &SessionOpening) {
+    fn close_session(&self, identity: &SessionIdentity) {
         self.seen
-            .send_modify(|seen| seen.closed.push(opening.clone()));
+            .send_modify(|seen| seen.closed.push(identity.clone()));
     }
 
     async fn execute(&self, request: StatementRequest) -> StatementReply {
--- a/crates/daemon/tests/callers/sessions.rs
+++ b/crates/daemon/tests/callers/sessions.rs
@@ -139,10 +139,10 @@
     config.options("-c ragwort.session=desk\\ 4");
     let (_client, connection) = config.connect(NoTls).await.unwrap();
     tokio::spawn(connection);
-    let opening = bench.service.seen.borrow().opened[0].clone();
-    assert_eq!(opening.session.as_str(), "desk 4");
-    assert_eq!(opening.customer.as_str(), "omuti");
-    assert_eq!(opening.group.as_str(), "cases");
+    let identity = bench.service.seen.borrow().opened[0].clone();
+    assert_eq!(identity.session.as_str(), "desk 4");
+    assert_eq!(identity.customer.as_str(), "omuti");
+    assert_eq!(identity.group.as_str(), "cases");
 }
 
 #[tokio::test]
--- a/crates/daemon/tests/pieces/bench.rs
+++ b/crates/daemon/tests/components/bench.rs
@@ -203,7 +203,7 @@
         copy: Arc::new(copy),
         lease: MemberLease::new(),
         draining: false,
-        caller_changes: 0,
+        admission_changes: 0,
     };
     if lease {
         let grant = LeaseGrant {
--- a/crates/daemon/tests/pieces/connection.rs
+++ b/crates/daemon/tests/components/connection.rs
@@ -12,13 +12,13 @@
 use ragwort_types::StatementId;
 use ragwort_types::StatementShape;
 use ragwortgated::connection::ConnectionChange;
+use ragwortgated::connection::ConnectionCommand;
 use ragwortgated::connection::ConnectionEvent;
 use ragwortgated::connection::ConnectionId;
-use ragwortgated::connection::ConnectionOrder;
 use ragwortgated::connection::ConnectionTarget;
-use ragwortgated::connection::DescribeOrder;
+use ragwortgated::connection::DescribeCommand;
 use ragwortgated::connection::DescribeOutcome;
-use ragwortgated::connection::RunOrder;
+use ragwortgated::connection::RunCommand;
 use ragwortgated::connection::RunOutcome;
 use ragwortgated::connection::spawn_connection;
 use std::net::SocketAddr;
@@ -76,9 +76,9 @@
     typed_answer_is_read_as_text => typed_answer_case();
 }
 
-/// A connection under test, its orders and the events that it reports.
+/// A connection under test, its commands and the events that it reports.
 struct TestConnection {
-    orders: mpsc::Sender<ConnectionOrder>,
+    commands: mpsc::Sender<ConnectionCommand>,
     events: mpsc::Receiver<ConnectionEvent>,
     task: JoinHandle<()>,
 }
@@ -88,9 +88,9 @@
     async fn open(address: SocketAddr, idle_ping: Duration) -> Self {
         let target = create_target(address, idle_ping);
         let (sender, events) = mpsc::channel(16);
-        let (orders, task) = spawn_connection(target, sender);
+        let (commands, task) = spawn_connection(target, sender);
         let mut connection = Self {
-            orders,
+            commands,
             events,
             task,
         };
@@ -104,19 +104,19 @@
         self.events.recv().await.unwrap().change
     }
 
-    async fn order(&self, order: ConnectionOrder) {
-        self.orders.send(order).await.unwrap();
+    async fn command(&self, command: ConnectionCommand) {
+        self.commands.send(command).await.unwrap();
     }
 
-    /// Orders a statement by the simple protocol.
+    /// Runs a statement by the simple protocol.
     async fn start(&self, text: &str, limit: Duration) {
-        let run = RunOrder {
+        let run = RunCommand {
             id: StatementId::fresh(),
             text: text.to_owned(),
             parameters: None,
             until: Instant::now() + limit,
         };
-        self.order(ConnectionOrder::Run(run)).await;
+        self.command(ConnectionCommand::Run(run)).await;
     }
 
     /// Waits for the outcome of the running statement.
@@ -135,13 +135,13 @@
     /// Runs a statement by the extended protocol and returns its answer.
     async fn run_extended(&mut self, text: &str, parameters: &[&str]) -> StatementAnswer {
         let values = parameters.iter().map(|value| Some((*value).to_owned()));
-        let run = RunOrder {
+        let run = RunCommand {
             id: StatementId::fresh(),
             text: text.to_owned(),
             parameters: Some(values.collect()),
             until: Instant::now() + LONG,
         };
-        self.order(ConnectionOrder::Run(run)).await;
+        self.command(ConnectionCommand::Run(run)).await;
         match self.finish().await {
             RunOutcome::Answered(answer, _) => answer,
             other => panic!("{other:?}"),
@@ -150,32 +150,32 @@
 
     /// Describes a statement with one parameter.
     async fn describe(&mut self, text: &str, limit: Duration) -> DescribeOutcome {
-        let order = DescribeOrder {
+        let command = DescribeCommand {
             id: StatementId::fresh(),
             text: text.to_owned(),
             parameters: 1,
             limit,
         };
-        self.order(ConnectionOrder::Describe(order)).await;
+        self.command(ConnectionCommand::Describe(command)).await;
         match self.next().await {
             ConnectionChange::Described(_, outcome) => outcome,
             other => panic!("{other:?}"),
         }
     }
 
-    /// Asserts that the connection closes, accepts no orders and its task ends.
+    /// Asserts that the connection closes, accepts no commands and its task ends.
     async fn expect_closed(mut self) {
         let closed = self.next().await;
         assert!(matches!(closed, ConnectionChange::Closed), "{closed:?}");
         self.task.await.unwrap();
-        assert!(self.orders.is_closed());
+        assert!(self.commands.is_closed());
     }
 
     /// Asserts that the connection still answers, and closes it.
     async fn expect_usable(mut self) {
         let outcome = self.run("select 1", LONG).await;
         assert!(matches!(outcome, RunOutcome::Answered(..)), "{outcome:?}");
-        drop(self.orders);
+        drop(self.commands);
         self.task.await.unwrap();
     }
 }
@@ -201,13 +201,13 @@
     let endpoint = LabEndpoint::start(&settings).await.unwrap();
     let target = create_target(endpoint.data_address(), LONG);
     let (sender, mut events) = mpsc::channel(16);
-    let (orders, task) = spawn_connection(target, sender);
+    let (commands, task) = spawn_connection(target, sender);
     let event = events.recv().await.unwrap();
     assert!(
         matches!(event.change, ConnectionChange::Closed),
         "{event:?}"
     );
-    drop(orders);
+    drop(commands);
     task.await.unwrap();
     endpoint.stop().await;
 }
@@ -272,7 +272,7 @@
     let mut connection = TestConnection::open(endpoint.data_address(), LONG).await;
     connection.start("sleep 50000", LONG).await;
     wait_running(&endpoint).await;
-    connection.order(ConnectionOrder::Cancel).await;
+    connection.command(ConnectionCommand::Cancel).await;
     let outcome = connection.finish().await;
     let RunOutcome::Answered(StatementAnswer::Failed(error), _) = outcome else {
         panic!("{outcome:?}");
@@ -297,7 +297,7 @@
     let mut connection = TestConnection::open(endpoint.data_address(), LONG).await;
     let silence = FaultRequest::SilenceConnections;
     endpoint.shared().set_fault(silence).await;
-    connection.order(ConnectionOrder::Ping).await;
+    connection.command(ConnectionCommand::Ping).await;
     let outcome = connection.run("put case-7 open", LONG).await;
     assert_eq!(outcome, RunOutcome::NotSent);
     connection.expect_closed().await;
@@ -369,7 +369,7 @@
         rows: vec![row.into()],
     };
     assert_eq!(answer, StatementAnswer::Rows(expected));
-    drop(connection.orders);
+    drop(connection.commands);
     connection.task.await.unwrap();
     tasks.shutdown().await;
 }
--- a/crates/daemon/tests/pieces/statements.rs
+++ b/crates/daemon/tests/components/statements.rs
@@ -26,7 +26,7 @@
 use ragwortgated::metrics::DaemonMetrics;
 use ragwortgated::peers::LinkError;
 use ragwortgated::peers::PeerLinks;
-use ragwortgated::statements::links::CallSort;
+use ragwortgated::statements::links::CallKind;
 use ragwortgated::statements::links::StatementLinks;
 use ragwortgated::statements::server::StatementRunner;
 use ragwortgated::statements::server::serve_statements;
@@ -116,7 +116,7 @@
 
 #[async_trait]
 impl StatementRunner for LengthRunner {
-    async fn run_here(&self, request: StatementRequest) -> Option<StatementReply> {
+    async fn run_locally(&self, request: StatementRequest) -> Option<StatementReply> {
         self.received.fetch_add(1, Ordering::SeqCst);
         match request.text.as_str() {
             HANGS => std::future::pending().await,
@@ -129,7 +129,7 @@
         }
     }
 
-    async fn bring_on(&self, request: StatementRequest) -> StatementReply {
+    async fn relay_statement(&self, request: StatementRequest) -> StatementReply {
         self.received.fetch_add(1, Ordering::SeqCst);
         let mut reply = answer(&request, request.text.len() as u64);
         match request.text.as_str() {
@@ -207,7 +207,7 @@
     text: &str,
 ) -> Result<StatementReply, LinkError> {
     links
-        .call(address, CallSort::Execute, request(text), HOUR)
+        .call(address, CallKind::Execute, request(text), HOUR)
         .await
 }
 
@@ -228,7 +228,7 @@
             let request = request(&"x".repeat(length));
             let id = request.id;
             let reply = links
-                .call(address, CallSort::Execute, request, HOUR)
+                .call(address, CallKind::Execute, request, HOUR)
                 .await
                 .unwrap();
             assert_eq!(reply.id, id);
@@ -238,7 +238,7 @@
     });
     futures::future::join_all(calls).await;
     let relayed = links
-        .call(leaseholder.address, CallSort::Relay, request("x"), HOUR)
+        .call(leaseholder.address, CallKind::Relay, request("x"), HOUR)
         .await;
     assert!(matches!(
         relayed.unwrap().verdict,
--- a/crates/daemon/tests/native/bench.rs
+++ b/crates/daemon/tests/native/bench.rs
@@ -142,7 +142,7 @@
 
 /// A statement to be sent to the leaseholder.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct TestStatement {
     kind: &'static str,
     text: String,
     act: StatementOperation,
@@ -154,7 +154,7 @@
     proof: Option<KeyDigest>,
 }
 
-impl Ask {
+impl TestStatement {
     pub fn new(kind: &'static str, text: &str) -> Self {
         let access = match kind {
             WRITE => AccessMode::Write,
@@ -392,12 +392,12 @@
         for index in (0..self.endpoints.len()).filter(|index| *index != left_out) {
             self.announce(index, false).await;
         }
-        let reply = self.ask(Ask::new(WRITE, "write settled")).await;
+        let reply = self.ask(TestStatement::new(WRITE, "write settled")).await;
         assert!(matches!(reply.verdict, RequestVerdict::Ran(_)), "{reply:?}");
     }
 
     /// Sends a statement and returns the receiver of its reply.
-    pub async fn send(&self, statement: Ask) -> oneshot::Receiver<StatementReply> {
+    pub async fn send(&self, statement: TestStatement) -> oneshot::Receiver<StatementReply> {
         let (reply, answer) = oneshot::channel();
         let event = GroupEvent::Statement(Box::new(statement.into_request()), reply);
         self.inbox.send(event).await.unwrap();
@@ -406,7 +406,7 @@
 
     /// Sends a statement without waiting for room in the queue. Returns `None` if the queue is full or
     /// closed.
-    pub fn try_send(&self, statement: Ask) -> Option<oneshot::Receiver<StatementReply>> {
+    pub fn try_send(&self, statement: TestStatement) -> Option<oneshot::Receiver<StatementReply>> {
         let (reply, answer) = oneshot::channel();
         let event = GroupEvent::Statement(Box::new(statement.into_request()), reply);
         self.inbox.try_send(event).ok().map(|()| answer)
@@ -420,7 +420,7 @@
     }
 
     /// Sends a statement and waits for its reply.
-    pub async fn ask(&self, statement: Ask) -> StatementReply {
+    pub async fn ask(&self, statement: TestStatement) -> StatementReply {
         self.send(statement).await.await.unwrap()
     }
 
@@ -785,6 +785,6 @@
         copy: Arc::new(copy),
         lease,
         draining: false,
-        caller_changes: 0,
+        admission_changes: 0,
     }
 }
--- a/crates/daemon/tests/native/connections.rs
+++ b/crates/daemon/tests/native/connections.rs
@@ -1,10 +1,10 @@
 //! Choice of a statement's connection, and the session state that is restored on it.
 
 use crate::bench::AGED;
-use crate::bench::Ask;
 use crate::bench::KNOWN_ACCOUNT;
 use crate::bench::KNOWN_KEY;
 use crate::bench::NativeBench;
+use crate::bench::TestStatement;
 use crate::bench::WRITE;
 use crate::bench::is_served;
 use ragwort_types::KeyDigest;
@@ -46,14 +46,14 @@
     let mut bench = NativeBench::start([5, 5, 5]).await;
     bench.settle().await;
     let id = TransactionId::fresh();
-    let first = Ask::new(WRITE, "write first").step(TransactionStep::Begin(id));
+    let first = TestStatement::new(WRITE, "write first").step(TransactionStep::Begin(id));
     let reply = bench.ask(first).await;
     assert!(is_served(&reply), "{reply:?}");
-    let other = bench.ask(Ask::new(WRITE, "write other")).await;
+    let other = bench.ask(TestStatement::new(WRITE, "write other")).await;
     assert!(is_served(&other), "{other:?}");
-    let second = Ask::new(WRITE, "write second").step(TransactionStep::Within(id));
+    let second = TestStatement::new(WRITE, "write second").step(TransactionStep::Within(id));
     assert!(is_served(&bench.ask(second).await));
-    let commit = Ask::new(WRITE, "commit").step(TransactionStep::Commit(id));
+    let commit = TestStatement::new(WRITE, "commit").step(TransactionStep::Commit(id));
     assert!(is_served(&bench.ask(commit).await));
     let ran = bench.endpoints[0].script().ran.clone();
     let connection_of = |text: &str| {
@@ -71,10 +71,14 @@
     bench.settle().await;
     for round in 0..4 {
         let text = format!("write set {round}");
-        let reply = bench.ask(Ask::new(WRITE, &text).value("lang", "gu")).await;
+        let reply = bench
+            .ask(TestStatement::new(WRITE, &text).value("lang", "gu"))
+            .await;
         assert!(is_served(&reply), "{reply:?}");
         let text = format!("write unset {round}");
-        assert!(is_served(&bench.ask(Ask::new(WRITE, &text)).await));
+        assert!(is_served(
+            &bench.ask(TestStatement::new(WRITE, &text)).await
+        ));
     }
     let commands = bench.endpoints[0].script().commands.clone();
     for (place, (connection, line)) in commands.iter().enumerate() {
@@ -95,7 +99,9 @@
     for round in 0..6 {
         for account in ["one", "two"] {
             let text = format!("write {account} {round}");
-            let reply = bench.ask(Ask::new(WRITE, &text).account(account)).await;
+            let reply = bench
+                .ask(TestStatement::new(WRITE, &text).account(account))
+                .await;
             assert!(is_served(&reply), "{reply:?}");
         }
     }
@@ -121,7 +127,7 @@
     for round in 0..4 {
         for account in 0..10 {
             let text = format!("write {account} {round}");
-            let statement = Ask::new(WRITE, &text).account(&format!("account-{account}"));
+            let statement = TestStatement::new(WRITE, &text).account(&format!("account-{account}"));
             let reply = bench.ask(statement).await;
             assert!(
                 is_served(&reply),
@@ -137,7 +143,7 @@
     bench.settle().await;
     for _ in 0..20 {
         let begin = TransactionStep::Begin(TransactionId::fresh());
-        let statement = Ask::new(WRITE, "write record").step(begin);
+        let statement = TestStatement::new(WRITE, "write record").step(begin);
         drop(bench.send(statement).await);
     }
     for _ in 0..100 {
@@ -156,16 +162,16 @@
         _ => None,
     };
     let unknown = Some(RefusalCause::UnknownKey);
-    let nobody = bench.ask(Ask::new(WRITE, "write nobody")).await;
+    let nobody = bench.ask(TestStatement::new(WRITE, "write nobody")).await;
     assert_eq!(cause(nobody), unknown);
-    let stale = Ask::new(WRITE, "write stale").account(KNOWN_ACCOUNT);
+    let stale = TestStatement::new(WRITE, "write stale").account(KNOWN_ACCOUNT);
     assert_eq!(
         cause(bench.ask(stale.proof(KeyDigest([8; 16]))).await),
         unknown
     );
-    let moved = Ask::new(WRITE, "write moved").account("clerks");
+    let moved = TestStatement::new(WRITE, "write moved").account("clerks");
     assert_eq!(cause(bench.ask(moved.proof(KNOWN_KEY)).await), unknown);
-    let known = Ask::new(WRITE, "write known").account(KNOWN_ACCOUNT);
+    let known = TestStatement::new(WRITE, "write known").account(KNOWN_ACCOUNT);
     assert!(is_served(&bench.ask(known.clone().proof(KNOWN_KEY)).await));
     assert!(is_served(&bench.ask(known).await));
     for text in ["write nobody", "write stale", "write moved"] {
@@ -179,7 +185,7 @@
     bench.announce_at(0, false, elsewhere).await;
     bench.wait_for_command(1, "open cases-1").await;
     bench.settle().await;
-    let reply = bench.ask(Ask::new(AGED, "read shelf")).await;
+    let reply = bench.ask(TestStatement::new(AGED, "read shelf")).await;
     assert!(is_served(&reply), "{reply:?}");
     let ran = bench.endpoints[1].script().ran.clone();
     assert!(ran.iter().all(|ran| !ran.text.starts_with("write")));
--- a/crates/daemon/tests/native/failover.rs
+++ b/crates/daemon/tests/native/failover.rs
@@ -1,8 +1,8 @@
 //! Replacement of a primary, and the verdicts that callers get meanwhile.
 
 use crate::bench::AGED;
-use crate::bench::Ask;
 use crate::bench::NativeBench;
+use crate::bench::TestStatement;
 use crate::bench::WRITE;
 use crate::bench::is_served;
 use crate::bench::position;
@@ -47,7 +47,7 @@
     bench.endpoints[0].kill().await;
     assert_eq!(bench.wait_for_order().await, 2);
     bench.promote(2).await;
-    let reply = bench.ask(Ask::new(WRITE, "write after")).await;
+    let reply = bench.ask(TestStatement::new(WRITE, "write after")).await;
     assert!(is_served(&reply), "{reply:?}");
     assert_eq!(reply.served_by.unwrap().instance.as_str(), "cases-3");
     assert_eq!(bench.count_runs("write after"), 1);
@@ -62,7 +62,7 @@
     let index = bench.wait_for_order().await;
     crate::cases::wait_until(|| bench.promotions.orders.lock().unwrap().len() >= 2).await;
     bench.promote(index).await;
-    let reply = bench.ask(Ask::new(WRITE, "write after")).await;
+    let reply = bench.ask(TestStatement::new(WRITE, "write after")).await;
     assert!(is_served(&reply), "{reply:?}");
 }
 
@@ -75,7 +75,9 @@
     bench.announce(0, true).await;
     let index = bench.wait_for_order().await;
     assert_ne!(index, 0);
-    let write = bench.send(Ask::new(WRITE, "write meanwhile")).await;
+    let write = bench
+        .send(TestStatement::new(WRITE, "write meanwhile"))
+        .await;
     bench.promote(index).await;
     let reply = write.await.unwrap();
     assert!(is_served(&reply), "{reply:?}");
@@ -87,7 +89,7 @@
     let mut bench = NativeBench::start([5, 5, 5]).await;
     bench.settle().await;
     bench.endpoints[0].script().silent = true;
-    let write = bench.send(Ask::new(WRITE, "write lost")).await;
+    let write = bench.send(TestStatement::new(WRITE, "write lost")).await;
     bench.wait_for(|dump| dump["requests"] == 1).await;
     bench.wait_for_withheld(0, "run - write lost").await;
     bench.endpoints[0].kill().await;
@@ -98,7 +100,7 @@
     );
     let index = bench.wait_for_order().await;
     bench.promote(index).await;
-    let reply = bench.ask(Ask::new(WRITE, "write after")).await;
+    let reply = bench.ask(TestStatement::new(WRITE, "write after")).await;
     assert!(is_served(&reply), "{reply:?}");
     assert_eq!(bench.count_runs("write lost"), 0);
 }
@@ -109,7 +111,7 @@
     for index in 0..3 {
         bench.endpoints[index].script().silent = true;
     }
-    let read = bench.send(Ask::new(AGED, "read shelf")).await;
+    let read = bench.send(TestStatement::new(AGED, "read shelf")).await;
     let index = bench.wait_for_any_withheld("read shelf").await;
     bench.endpoints[index].kill().await;
     for index in 0..3 {
@@ -125,7 +127,7 @@
     bench.settle().await;
     let fault = ("write record".to_owned(), EndpointFaultKind::ReadOnly);
     bench.endpoints[0].script().faults.push(fault);
-    let reply = bench.ask(Ask::new(WRITE, "write record")).await;
+    let reply = bench.ask(TestStatement::new(WRITE, "write record")).await;
     assert!(is_served(&reply), "{reply:?}");
     assert_eq!(bench.count_runs("write record"), 1);
 }
@@ -143,7 +145,7 @@
     let mut bench = NativeBench::start([5, 5, 5]).await;
     bench.settle().await;
     bench.endpoints[0].script().silent = true;
-    let write = bench.send(Ask::new(WRITE, "write lost")).await;
+    let write = bench.send(TestStatement::new(WRITE, "write lost")).await;
     bench.wait_for_withheld(0, "run - write lost").await;
     bench.place_elsewhere();
     let reply = write.await.unwrap();
--- a/crates/daemon/tests/native/freshness.rs
+++ b/crates/daemon/tests/native/freshness.rs
@@ -1,8 +1,8 @@
 //! Staleness of reads: which instances may serve a read, by their positions.
 
 use crate::bench::AGED;
-use crate::bench::Ask;
 use crate::bench::NativeBench;
+use crate::bench::TestStatement;
 use crate::bench::WRITE;
 use crate::bench::is_served;
 use crate::bench::position;
@@ -37,7 +37,7 @@
     for index in 0..3 {
         bench.announce(index, false).await;
     }
-    let read = bench.send(Ask::new(AGED, "read shelf")).await;
+    let read = bench.send(TestStatement::new(AGED, "read shelf")).await;
     sleep(Duration::from_millis(50)).await;
     bench.endpoints[0].script().withholds_reports = false;
     let reply = read.await.unwrap();
@@ -50,9 +50,9 @@
 async fn own_write_case() {
     let mut bench = NativeBench::start([5, 5, 5]).await;
     bench.settle().await;
-    let write = bench.ask(Ask::new(WRITE, "write record")).await;
+    let write = bench.ask(TestStatement::new(WRITE, "write record")).await;
     let written = write.served_by.unwrap().position;
-    let read = Ask::new(AGED, "read record").last_write(written);
+    let read = TestStatement::new(AGED, "read record").last_write(written);
     let reply = bench.ask(read).await;
     assert!(is_served(&reply), "{reply:?}");
     assert!(reply.served_by.unwrap().position >= written);
@@ -63,11 +63,11 @@
     bench.settle().await;
     // The leaseholder assumes after a while that replicas have caught up; these never do.
     sleep(Duration::from_millis(400)).await;
-    let write = bench.ask(Ask::new(WRITE, "write record")).await;
+    let write = bench.ask(TestStatement::new(WRITE, "write record")).await;
     sleep(Duration::from_millis(400)).await;
     let written = write.served_by.unwrap().position;
     for _ in 0..4 {
-        let read = Ask::new(AGED, "read record").last_write(written);
+        let read = TestStatement::new(AGED, "read record").last_write(written);
         let reply = bench.ask(read).await;
         assert!(is_served(&reply), "{reply:?}");
         assert!(reply.served_by.unwrap().position >= written);
@@ -80,11 +80,11 @@
     bench.settle().await;
     // The leaseholder assumes after a while that replicas have caught up; these never do.
     sleep(Duration::from_millis(400)).await;
-    let write = bench.ask(Ask::new(WRITE, "write record")).await;
+    let write = bench.ask(TestStatement::new(WRITE, "write record")).await;
     let written = write.served_by.unwrap().position;
     for _ in 0..8 {
         sleep(Duration::from_millis(200)).await;
-        let read = Ask::new(AGED, "read record").last_write(written);
+        let read = TestStatement::new(AGED, "read record").last_write(written);
         let reply = bench.ask(read).await;
         assert!(is_served(&reply), "{reply:?}");
     }
--- a/crates/daemon/tests/native/lapses.rs
+++ b/crates/daemon/tests/native/lapses.rs
@@ -1,7 +1,7 @@
 //! Randomized test of writes while the lease lapses: each takes effect as often as its caller was told.
 
-use crate::bench::Ask;
 use crate::bench::NativeBench;
+use crate::bench::TestStatement;
 use crate::bench::WRITE;
 use crate::bench::is_served;
 use ragwort_types::RefusalCause;
@@ -114,11 +114,11 @@
     let id = TransactionId::fresh();
     let second = format!("{name} more");
     let steps = match single {
-        true => vec![Ask::new(WRITE, name)],
+        true => vec![TestStatement::new(WRITE, name)],
         false => vec![
-            Ask::new(WRITE, name).step(TransactionStep::Begin(id)),
-            Ask::new(WRITE, &second).step(TransactionStep::Within(id)),
-            Ask::new(WRITE, "COMMIT").step(TransactionStep::Commit(id)),
+            TestStatement::new(WRITE, name).step(TransactionStep::Begin(id)),
+            TestStatement::new(WRITE, &second).step(TransactionStep::Within(id)),
+            TestStatement::new(WRITE, "COMMIT").step(TransactionStep::Commit(id)),
         ],
     };
     for (index, step) in steps.iter().enumerate() {
@@ -142,7 +142,7 @@
 
 /// Submits a statement as a gateway does: again if no leaseholder accepted it, unless its transaction is
 /// open already.
-async fn submit(bench: &NativeBench, statement: &Ask) -> StatementReply {
+async fn submit(bench: &NativeBench, statement: &TestStatement) -> StatementReply {
     let mut reply = bench.ask(statement.clone()).await;
     for _ in 1..MAX_SUBMISSIONS {
         let RequestVerdict::NotRun(refusal) = &reply.verdict else {
--- a/crates/daemon/tests/native/takeover.rs
+++ b/crates/daemon/tests/native/takeover.rs
@@ -1,8 +1,8 @@
 //! Change of a group's leaseholder: takeover by noted endpoints, handover, lapse of the lease and the end
 //! of the task.
 
-use crate::bench::Ask;
 use crate::bench::NativeBench;
+use crate::bench::TestStatement;
 use crate::bench::WRITE;
 use crate::bench::is_served;
 use crate::cases::wait_until;
@@ -103,7 +103,7 @@
 
 async fn noted_case() {
     let bench = NativeBench::start_with_notes([5, 5, 5], 1).await;
-    let reply = bench.ask(Ask::new(WRITE, "write record")).await;
+    let reply = bench.ask(TestStatement::new(WRITE, "write record")).await;
     assert!(is_served(&reply), "{reply:?}");
     assert_eq!(bench.count_runs("write record"), 1);
 }
@@ -111,7 +111,7 @@
 async fn replaced_case() {
     let mut bench = NativeBench::start_with_notes([5, 5, 5], 2).await;
     bench.wait_for_command(0, "describe").await;
-    let write = bench.send(Ask::new(WRITE, "write record")).await;
+    let write = bench.send(TestStatement::new(WRITE, "write record")).await;
     bench.endpoints[1].script().position = LogPosition::new(GroupTerm(2), 5);
     bench.promote(1).await;
     let reply = write.await.unwrap();
@@ -125,22 +125,28 @@
     assert_eq!(bench.wait_for_order().await, 2);
     bench.wait_for(|dump| dump["replaced"] == "cases-1").await;
     bench.promote(2).await;
-    assert!(is_served(&bench.ask(Ask::new(WRITE, "write after")).await));
+    assert!(is_served(
+        &bench.ask(TestStatement::new(WRITE, "write after")).await
+    ));
 }
 
 async fn handover_case() {
     let (bench, open) = drain_with_transaction().await;
     bench.wait_for(|dump| dump["handing_over"] == true).await;
-    assert!(is_served(&bench.ask(Ask::new(WRITE, "write single")).await));
+    assert!(is_served(
+        &bench.ask(TestStatement::new(WRITE, "write single")).await
+    ));
     let other = TransactionStep::Begin(TransactionId::fresh());
-    let refused = bench.ask(Ask::new(WRITE, "write two").step(other)).await;
+    let refused = bench
+        .ask(TestStatement::new(WRITE, "write two").step(other))
+        .await;
     let expected = RequestVerdict::refused(RefusalCause::NoLeaseholder, 0);
     assert_eq!(refused.verdict, expected);
-    let end = Ask::new(WRITE, "COMMIT").step(TransactionStep::Commit(open));
+    let end = TestStatement::new(WRITE, "COMMIT").step(TransactionStep::Commit(open));
     assert!(is_served(&bench.ask(end).await));
     // After the last transaction has ended, all statements are refused.
-    while is_served(&bench.ask(Ask::new(WRITE, "write late")).await) {}
-    let refused = bench.ask(Ask::new(WRITE, "write later")).await;
+    while is_served(&bench.ask(TestStatement::new(WRITE, "write late")).await) {}
+    let refused = bench.ask(TestStatement::new(WRITE, "write later")).await;
     assert_eq!(refused.verdict, expected);
 }
 
@@ -149,7 +155,7 @@
     let mut bench = NativeBench::start([5, 5, 5]).await;
     bench.settle().await;
     let open = TransactionId::fresh();
-    let begin = Ask::new(WRITE, "write one").step(TransactionStep::Begin(open));
+    let begin = TestStatement::new(WRITE, "write one").step(TransactionStep::Begin(open));
     assert!(is_served(&bench.ask(begin).await));
     bench.drain();
     (bench, open)
@@ -158,7 +164,7 @@
 async fn outlasting_case() {
     let (bench, open) = drain_with_transaction().await;
     bench.endpoints[0].script().silent = true;
-    let commit = Ask::new(WRITE, "COMMIT").step(TransactionStep::Commit(open));
+    let commit = TestStatement::new(WRITE, "COMMIT").step(TransactionStep::Commit(open));
     let reply = bench.send(commit).await;
     bench.wait_for(|dump| dump["handed_over"] == true).await;
     bench.endpoints[0].script().silent = false;
@@ -169,7 +175,7 @@
 async fn late_commit_case() {
     let (bench, open) = drain_with_transaction().await;
     bench.wait_for(|dump| dump["handed_over"] == true).await;
-    let commit = Ask::new(WRITE, "COMMIT").step(TransactionStep::Commit(open));
+    let commit = TestStatement::new(WRITE, "COMMIT").step(TransactionStep::Commit(open));
     let lost = RequestVerdict::refused(RefusalCause::TransactionLost, 0);
     assert_eq!(bench.ask(commit).await.verdict, lost);
     assert_eq!(bench.count_runs("COMMIT"), 0);
@@ -184,7 +190,9 @@
             bench.announce(index, false).await;
         }
     }
-    assert!(is_served(&bench.ask(Ask::new(WRITE, "write record")).await));
+    assert!(is_served(
+        &bench.ask(TestStatement::new(WRITE, "write record")).await
+    ));
     assert_eq!(bench.count_notes(), 1);
     bench.announce(1, true).await;
     bench.wait_for_notes(2).await;
@@ -194,7 +202,9 @@
     let mut bench = NativeBench::start([5, 5, 5]).await;
     bench.settle().await;
     bench.change_epoch(2);
-    assert!(is_served(&bench.ask(Ask::new(WRITE, "write on")).await));
+    assert!(is_served(
+        &bench.ask(TestStatement::new(WRITE, "write on")).await
+    ));
     bench.change_epoch(4);
     wait_until(|| bench.is_ended()).await;
 }
@@ -203,7 +213,7 @@
     let mut bench = NativeBench::start([5, 5, 5]).await;
     bench.settle().await;
     bench.place_elsewhere();
-    let statements = (0..64).map(|_| Ask::new(WRITE, "write late"));
+    let statements = (0..64).map(|_| TestStatement::new(WRITE, "write late"));
     let replies: Vec<_> = statements
         .filter_map(|statement| bench.try_send(statement))
         .collect();
@@ -226,11 +236,13 @@
     let open = TransactionId::fresh();
     let step = create(open);
     if let TransactionStep::Within(_) = step {
-        let begin = Ask::new(WRITE, "write first").step(TransactionStep::Begin(open));
+        let begin = TestStatement::new(WRITE, "write first").step(TransactionStep::Begin(open));
         assert!(is_served(&bench.ask(begin).await));
     }
     bench.endpoints[0].script().silent = true;
-    let reply = bench.send(Ask::new(WRITE, "write record").step(step)).await;
+    let reply = bench
+        .send(TestStatement::new(WRITE, "write record").step(step))
+        .await;
     bench.wait_for_any_withheld(withheld).await;
     bench.end_lease();
     bench.endpoints[0].script().silent = false;
@@ -238,7 +250,7 @@
     assert_eq!(reply.await.unwrap().verdict, lost);
     bench.wait_for(|dump| dump["transactions"] == 0).await;
     bench.renew_lease();
-    let commit = Ask::new(WRITE, "COMMIT").step(TransactionStep::Commit(open));
+    let commit = TestStatement::new(WRITE, "COMMIT").step(TransactionStep::Commit(open));
     assert_eq!(bench.ask(commit).await.verdict, lost);
     assert_eq!(bench.count_runs("COMMIT"), 0);
 }
--- a/crates/daemon/tests/shortage/main.rs
+++ b/crates/daemon/tests/shortage/main.rs
@@ -13,8 +13,8 @@
 #[path = "../native/endpoint.rs"]
 mod endpoint;
 
-use bench::Ask;
 use bench::NativeBench;
+use bench::TestStatement;
 use bench::WRITE;
 use bench::is_served;
 use ragwort_types::TransactionId;
@@ -59,7 +59,7 @@
     // Each transaction occupies a connection, so that new ones have to be opened.
     let begin = |_| {
         let step = TransactionStep::Begin(TransactionId::fresh());
-        Ask::new(WRITE, "write record").step(step)
+        TestStatement::new(WRITE, "write record").step(step)
     };
     for ask in (0..8).map(begin) {
         drop(bench.send(ask).await);
@@ -68,6 +68,6 @@
     setrlimit(Resource::Nofile, before).unwrap();
     assert!(count_shortages() > 0, "no shortage was counted");
     assert!(bench.promotions.orders.lock().unwrap().is_empty());
-    let after = bench.ask(Ask::new(WRITE, "write after")).await;
+    let after = bench.ask(TestStatement::new(WRITE, "write after")).await;
     assert!(is_served(&after), "{after:?}");
 }
