--- a/crates/daemon/tests/components/bench.rs
+++ b/crates/daemon/tests/components/bench.rs
@@ -10,7 +10,7 @@
 use ragwort_lab::endpoint::LabEndpoint;
 use ragwort_lab::faults::FaultRequest;
 use ragwort_lab::instance::FollowTarget;
-use ragwort_lab::relay::CutRelay;
+use ragwort_lab::relay::FaultRelay;
 use ragwort_types::AccessMode;
 use ragwort_types::CallerAdmission;
 use ragwort_types::CatalogDelta;
@@ -305,7 +305,7 @@
 pub struct GroupBench {
     pub endpoints: Vec<LabEndpoint>,
     /// Relays the leaseholder's connections to the primary, so that a test can break them.
-    pub data_relay: Option<CutRelay>,
+    pub data_relay: Option<FaultRelay>,
     pub standbys: Vec<FakePeer>,
     control: FakePeer,
     pub view: watch::Sender<MemberView>,
@@ -332,7 +332,7 @@
             endpoints.push(LabEndpoint::start(&settings).await.unwrap());
         }
         form_first_term(&endpoints).await;
-        let relay = CutRelay::start(endpoints[0].data_address(), Duration::ZERO);
+        let relay = FaultRelay::start(endpoints[0].data_address(), Duration::ZERO);
         let relay = relay.await.unwrap();
 
         let record = create_record("vm-1", 1);
--- a/crates/daemon/tests/components/connection.rs
+++ b/crates/daemon/tests/components/connection.rs
@@ -4,7 +4,7 @@
 use ragwort_lab::endpoint::EndpointSettings;
 use ragwort_lab::endpoint::LabEndpoint;
 use ragwort_lab::faults::FaultRequest;
-use ragwort_lab::relay::CutRelay;
+use ragwort_lab::relay::FaultRelay;
 use ragwort_types::DatabaseError;
 use ragwort_types::GroupTerm;
 use ragwort_types::RowSet;
@@ -246,7 +246,7 @@
 
 async fn lost_case() {
     let endpoint = start_endpoint().await;
-    let relay = CutRelay::start(endpoint.data_address(), Duration::ZERO);
+    let relay = FaultRelay::start(endpoint.data_address(), Duration::ZERO);
     let relay = relay.await.unwrap();
     let mut connection = TestConnection::open(relay.address(), LONG).await;
     connection.start("sleep 50000", LONG).await;
--- a/crates/daemon/tests/components/gateway.rs
+++ b/crates/daemon/tests/components/gateway.rs
@@ -11,7 +11,7 @@
 use crate::bench::plain_links;
 use crate::peer::FakePeer;
 use crate::peer::PeerScript;
-use ragwort_lab::relay::CutRelay;
+use ragwort_lab::relay::FaultRelay;
 use ragwort_types::DoubtCause;
 use ragwort_types::RefusalCause;
 use ragwort_types::RequestKey;
@@ -176,9 +176,9 @@
 }
 
 /// Starts a peer that never replies, behind a relay by which the test breaks its connections.
-async fn start_breakable_peer() -> (FakePeer, CutRelay) {
+async fn start_breakable_peer() -> (FakePeer, FaultRelay) {
     let peer = FakePeer::start(PeerScript::Hang).await;
-    let relay = CutRelay::start(peer.address, Duration::ZERO).await;
+    let relay = FaultRelay::start(peer.address, Duration::ZERO).await;
     (peer, relay.unwrap())
 }
 
--- a/crates/daemon/tests/components/peers.rs
+++ b/crates/daemon/tests/components/peers.rs
@@ -4,7 +4,7 @@
 use crate::peer::FakePeer;
 use crate::peer::PeerScript;
 use jsonrpsee_ws_client::WsClient;
-use ragwort_lab::relay::CutRelay;
+use ragwort_lab::relay::FaultRelay;
 use ragwort_lab::relay::RelayMode;
 use ragwort_rpc::PeerApiClient;
 use ragwort_types::EndpointAnnouncement;
@@ -58,9 +58,9 @@
 }
 
 /// Starts a peer that never replies, behind a relay by which the test breaks its connections.
-async fn start_relayed() -> (FakePeer, CutRelay) {
+async fn start_relayed() -> (FakePeer, FaultRelay) {
     let peer = FakePeer::start(PeerScript::Hang).await;
-    let relay = CutRelay::start(peer.address, Duration::ZERO).await;
+    let relay = FaultRelay::start(peer.address, Duration::ZERO).await;
     (peer, relay.unwrap())
 }
 
@@ -101,7 +101,7 @@
     let (peer, relay) = start_relayed().await;
     let links = PeerLinks::new(LONG);
     assert_eq!(ping(&links, relay.address(), LONG).await, Ok(()));
-    relay.forget_connections();
+    relay.silence_connections();
     let lost = ping(&links, relay.address(), SHORT).await;
     assert_eq!(lost, Err(LinkError::Lost));
     assert_eq!(ping(&links, relay.address(), LONG).await, Ok(()));
@@ -117,7 +117,7 @@
     let address = relay.address();
     let (ended, ()) = tokio::join!(links.call(address, HOUR, call), async {
         peer.wait_received(1).await;
-        relay.forget_connections();
+        relay.silence_connections();
     });
     assert_eq!(ended.unwrap_err(), LinkError::Lost);
     relay.stop().await;
--- a/crates/daemon/tests/components/statements.rs
+++ b/crates/daemon/tests/components/statements.rs
@@ -8,7 +8,7 @@
 use crate::cases::wait_until;
 use async_trait::async_trait;
 use bytes::BytesMut;
-use ragwort_lab::relay::CutRelay;
+use ragwort_lab::relay::FaultRelay;
 use ragwort_lab::relay::RelayMode;
 use ragwort_rpc::FrameCodec;
 use ragwort_rpc::StatementFrame;
@@ -212,9 +212,9 @@
 }
 
 /// Starts a leaseholder behind a relay by which the test breaks its connections.
-async fn start_relayed() -> (TestLeaseholder, CutRelay) {
+async fn start_relayed() -> (TestLeaseholder, FaultRelay) {
     let leaseholder = TestLeaseholder::start().await;
-    let relay = CutRelay::start(leaseholder.address, Duration::ZERO).await;
+    let relay = FaultRelay::start(leaseholder.address, Duration::ZERO).await;
     (leaseholder, relay.unwrap())
 }
 
@@ -313,7 +313,7 @@
     let address = relay.address();
     let (ended, ()) = tokio::join!(call(&links, address, HANGS), async {
         leaseholder.wait_received(1).await;
-        relay.forget_connections();
+        relay.silence_connections();
     });
     assert_eq!(ended.unwrap_err(), LinkError::Lost);
     // Calls are refused until the new connection is established.
--- a/crates/lab/src/lab_set.rs
+++ b/crates/lab/src/lab_set.rs
@@ -6,7 +6,7 @@
 use crate::lab_rpc::LabApiClient;
 use crate::ports::pick_address;
 use crate::process::ChildProcess;
-use crate::relay::CutRelay;
+use crate::relay::FaultRelay;
 use crate::relay::RelayMode;
 use crate::set_calls::SetFault;
 use crate::set_calls::agent_client;
@@ -77,8 +77,8 @@
     pub agent: SocketAddr,
     domain: &'static str,
     data: SocketAddr,
-    data_relay: CutRelay,
-    agent_relay: CutRelay,
+    data_relay: FaultRelay,
+    agent_relay: FaultRelay,
     restarts: u32,
     child: Option<ChildProcess>,
 }
@@ -263,8 +263,8 @@
             .to_owned();
         node.instance = format!("{first_name}.{}", node.restarts);
         (node.data, node.agent) = (pick_address(), pick_address());
-        node.data_relay = CutRelay::start(node.data, delay).await?;
-        node.agent_relay = CutRelay::start(node.agent, delay).await?;
+        node.data_relay = FaultRelay::start(node.data, delay).await?;
+        node.agent_relay = FaultRelay::start(node.agent, delay).await?;
         self.start_endpoint(index, false)
     }
 
@@ -282,10 +282,10 @@
     }
 
     /// Silences the connections to an endpoint that are open now; see
-    /// [`CutRelay::forget_connections`].
-    pub fn forget_connections(&self, index: usize) {
-        self.endpoints[index].data_relay.forget_connections();
-        self.endpoints[index].agent_relay.forget_connections();
+    /// [`FaultRelay::silence_connections`].
+    pub fn silence_connections(&self, index: usize) {
+        self.endpoints[index].data_relay.silence_connections();
+        self.endpoints[index].agent_relay.silence_connections();
     }
 
     /// Requests a fault from an endpoint. A failure is ignored, as the endpoint may not be running.
@@ -376,8 +376,8 @@
             agent,
             domain: self.settings.size.domain(number),
             data,
-            data_relay: CutRelay::start(data, delay).await?,
-            agent_relay: CutRelay::start(agent, delay).await?,
+            data_relay: FaultRelay::start(data, delay).await?,
+            agent_relay: FaultRelay::start(agent, delay).await?,
             restarts: 0,
             child: None,
         });
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -43,9 +43,9 @@
 #[derive(Clone, Copy, Debug)]
 struct RelayState {
     mode: RelayMode,
-    /// The number of calls of [`CutRelay::forget_connections`]. A connection is silent if it was opened
+    /// The number of calls of [`FaultRelay::silence_connections`]. A connection is silent if it was opened
     /// at a lower count.
-    forgotten: u64,
+    silence_count: u64,
 }
 
 /// The traffic that a relay has forwarded, in both directions together.
@@ -73,14 +73,14 @@
 
 /// A relay to one target address.
 #[derive(Debug)]
-pub struct CutRelay {
+pub struct FaultRelay {
     address: SocketAddr,
     traffic: Arc<TrafficCounter>,
     state: Arc<watch::Sender<RelayState>>,
     tasks: JoinSet<()>,
 }
 
-impl CutRelay {
+impl FaultRelay {
     /// Starts a relay on a free port of 127.0.0.1, with a one-way delay in each direction.
     ///
     /// # Errors
@@ -94,7 +94,7 @@
         let address = listener.local_addr()?;
         let state = Arc::new(watch::Sender::new(RelayState {
             mode: RelayMode::Open,
-            forgotten: 0,
+            silence_count: 0,
         }));
         let traffic = Arc::new(TrafficCounter::default());
         let link = RelayLink {
@@ -133,8 +133,8 @@
 
     /// Stops forwarding on the connections that are open now, for good and without closing them. New
     /// connections work.
-    pub fn forget_connections(&self) {
-        self.state.send_modify(|state| state.forgotten += 1);
+    pub fn silence_connections(&self) {
+        self.state.send_modify(|state| state.silence_count += 1);
     }
 
     /// Stops the relay and closes its connections.
@@ -176,8 +176,8 @@
     link: RelayLink,
     mut state: watch::Receiver<RelayState>,
 ) {
-    let forgotten = state.borrow().forgotten;
-    wait_until_open(&mut state, forgotten).await;
+    let silence_count = state.borrow().silence_count;
+    wait_until_open(&mut state, silence_count).await;
     let Ok(callee) = TcpStream::connect(link.target).await else {
         return;
     };
@@ -191,8 +191,8 @@
     tokio::join!(
         read_chunks(caller_read, &link, to_callee),
         read_chunks(callee_read, &link, to_caller),
-        write_chunks(callee_write, callee_chunks, state.clone(), forgotten),
-        write_chunks(caller_write, caller_chunks, state, forgotten),
+        write_chunks(callee_write, callee_chunks, state.clone(), silence_count),
+        write_chunks(caller_write, caller_chunks, state, silence_count),
     );
 }
 
@@ -204,8 +204,8 @@
 }
 
 /// Waits until the relay is in [`RelayMode::Open`]; never returns for a silent connection.
-async fn wait_until_open(state: &mut watch::Receiver<RelayState>, forgotten: u64) {
-    let open = |state: &RelayState| state.mode == RelayMode::Open && state.forgotten == forgotten;
+async fn wait_until_open(state: &mut watch::Receiver<RelayState>, silence_count: u64) {
+    let open = |state: &RelayState| state.mode == RelayMode::Open && state.silence_count == silence_count;
     if state.wait_for(open).await.is_err() {
         std::future::pending().await
     }
@@ -232,11 +232,11 @@
     mut to: OwnedWriteHalf,
     mut chunks: mpsc::Receiver<DelayedChunk>,
     mut state: watch::Receiver<RelayState>,
-    forgotten: u64,
+    silence_count: u64,
 ) {
     while let Some(chunk) = chunks.recv().await {
         sleep_until(chunk.due).await;
-        wait_until_open(&mut state, forgotten).await;
+        wait_until_open(&mut state, silence_count).await;
         if chunk.bytes.is_empty() || to.write_all(&chunk.bytes).await.is_err() {
             break;
         }
--- a/crates/lab/src/scale_set.rs
+++ b/crates/lab/src/scale_set.rs
@@ -8,7 +8,7 @@
 use crate::endpoint::LabEndpoint;
 use crate::ports::pick_address;
 use crate::process::ChildProcess;
-use crate::relay::CutRelay;
+use crate::relay::FaultRelay;
 use crate::relay::RelayTraffic;
 use crate::scale_process::ProcessUse;
 use crate::set_calls::SetFault;
@@ -117,8 +117,8 @@
     /// The daemons; control VMs first.
     pub nodes: Vec<ScaleNode>,
     folder: PathBuf,
-    member_relays: Vec<CutRelay>,
-    control_relays: Vec<CutRelay>,
+    member_relays: Vec<FaultRelay>,
+    control_relays: Vec<FaultRelay>,
     endpoints: Vec<LabEndpoint>,
 }
 
@@ -257,9 +257,9 @@
 
     async fn start_relays(&mut self) -> Result<(), SetFault> {
         for node in &self.nodes[..self.settings.control] {
-            let member_relay = CutRelay::start(node.peers, Duration::ZERO).await?;
+            let member_relay = FaultRelay::start(node.peers, Duration::ZERO).await?;
             self.member_relays.push(member_relay);
-            let control_relay = CutRelay::start(node.peers, Duration::ZERO).await?;
+            let control_relay = FaultRelay::start(node.peers, Duration::ZERO).await?;
             self.control_relays.push(control_relay);
         }
         Ok(())
@@ -404,10 +404,10 @@
     format!("domain-{}", number % DOMAINS + 1)
 }
 
-fn add_traffic(relays: &[CutRelay]) -> RelayTraffic {
+fn add_traffic(relays: &[FaultRelay]) -> RelayTraffic {
     relays
         .iter()
-        .map(CutRelay::traffic)
+        .map(FaultRelay::traffic)
         .fold(RelayTraffic::default(), |sum, one| RelayTraffic {
             bytes: sum.bytes + one.bytes,
             reads: sum.reads + one.reads,
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -246,7 +246,7 @@
                 }
             }
             SoakFault::CutEndpoint(index) => self.set.set_cut(index, true).await,
-            SoakFault::ForgetConnections(index) => self.set.forget_connections(index),
+            SoakFault::ForgetConnections(index) => self.set.silence_connections(index),
             SoakFault::SlowEndpoint(index) => {
                 let slow = FaultRequest::Slow(SLOW_FACTOR);
                 self.set.set_fault(index, slow).await;
--- a/crates/lab/tests/process.rs
+++ b/crates/lab/tests/process.rs
@@ -7,7 +7,7 @@
 use ragwort_lab::caller::is_listening;
 use ragwort_lab::process::ChildProcess;
 use ragwort_lab::process::pick_address;
-use ragwort_lab::relay::CutRelay;
+use ragwort_lab::relay::FaultRelay;
 use ragwort_lab::relay::RelayMode;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -109,14 +109,14 @@
 #[tokio::test]
 async fn relay_forgets_and_cuts() {
     let endpoint = EndpointProcess::start("relay").await;
-    let relay = CutRelay::start(endpoint.data, Duration::from_millis(3))
+    let relay = FaultRelay::start(endpoint.data, Duration::from_millis(3))
         .await
         .unwrap();
     let mut open_before = open(relay.address()).await;
     let start = Instant::now();
     assert!(is_answered(&open_before.run("put k v", LONG).await));
     assert!(start.elapsed() >= Duration::from_millis(6));
-    relay.forget_connections();
+    relay.silence_connections();
     let silent = open_before.run("get k", SHORT).await;
     assert_eq!(silent, CallerVerdict::Unanswered);
     let mut fresh = open(relay.address()).await;
--- a/crates/lab/tests/whole.rs
+++ b/crates/lab/tests/whole.rs
@@ -175,7 +175,7 @@
             wait_for_successor(set, group, primary).await;
             set.set_cut(primary, false).await;
         }
-        WholeFault::ForgetConnections => set.forget_connections(primary),
+        WholeFault::ForgetConnections => set.silence_connections(primary),
         WholeFault::KillLeaseholder => {
             set.kill_daemon(leaseholder);
             wait_for_other_leaseholder(set, group, leaseholder).await;
