--- a/crates/control/examples/agreement_slopes.rs
+++ b/crates/control/examples/agreement_slopes.rs
@@ -1,5 +1,5 @@
-//! Measures the CPU time, message bytes, record bytes and memory of the agreed log per entry and
-//! per heartbeat, for the documentation of capacity.
+//! Measures the CPU time, message bytes, record bytes and memory of the replicated log per entry
+//! and per heartbeat, for the documentation of capacity.
 //!
 //! Three nodes exchange messages in the envelopes of the daemon's calls, but within one thread and
 //! without a network or a disk. It should be built in release mode. Times depend on the machine,
--- a/crates/control/src/agreement/entry.rs
+++ b/crates/control/src/agreement/entry.rs
@@ -32,11 +32,12 @@
 }
 
 log_counter! {
-    /// The index of an entry in the agreed log, counted from 1; zero means before the first entry.
+    /// The index of an entry in the replicated log, counted from 1; zero means before the first
+    /// entry.
     LogIndex
 }
 log_counter! {
-    /// An election term of the agreed log. A term has at most one leader.
+    /// An election term of the replicated log. A term has at most one leader.
     ElectionTerm
 }
 
@@ -218,7 +219,7 @@
     Configuration(Box<VoterConfiguration>),
 }
 
-/// One entry of the agreed log.
+/// One entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
     /// The entry's term and index.
--- a/crates/control/src/agreement/message.rs
+++ b/crates/control/src/agreement/message.rs
@@ -1,4 +1,4 @@
-//! Messages between the nodes of the agreed log.
+//! Messages between the nodes of the replicated log.
 //!
 //! A message is encoded as JSON and sent within a JSON string, where each quote takes two bytes.
 //! Therefore the fields of frequent messages are encoded with one-letter names, or as arrays.
--- a/crates/control/src/agreement/mod.rs
+++ b/crates/control/src/agreement/mod.rs
@@ -1,4 +1,4 @@
-//! The agreed log: a log replicated by Raft consensus, as a state machine without I/O.
+//! The replicated log: Raft consensus as a state machine without I/O.
 //!
 //! A driver feeds an [`AgreementNode`] with ticks, messages and proposals, and carries out its
 //! [`AgreementOutput`] after each of them. Time is measured in ticks, whose length the driver sets.
@@ -90,7 +90,7 @@
 /// arrives before the next request.
 const MIN_PRE_VOTE_INTERVAL_TICKS: u64 = 3;
 
-/// One node of the agreed log: a Raft peer with its log, term, vote and role.
+/// One node of the replicated log: a Raft peer with its log, term, vote and role.
 ///
 /// # Examples
 ///
--- a/crates/control/src/agreement/settings.rs
+++ b/crates/control/src/agreement/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the agreed log, and its guards: the protocol rules that tests can disable.
+//! Settings of the replicated log, and its guards: the protocol rules that tests can disable.
 
 use super::entry::VoterId;
 use ragwort_types::VmName;
--- a/crates/control/src/catalog.rs
+++ b/crates/control/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The catalog: the state that results from the commands of the agreed log.
+//! The catalog: the state that results from the commands of the replicated log.
 //!
 //! Every control VM applies the same commands in the same order and so holds the same catalog. A
 //! command names the state on which it builds and is refused if that state has changed, because its
--- a/crates/control/src/journal.rs
+++ b/crates/control/src/journal.rs
@@ -298,8 +298,8 @@
 
     /// Returns whether every standby of the epoch has received the whole journal.
     ///
-    /// The leaseholder then confirms the epoch in the agreed log, and dispatches only after that:
-    /// the confirmation tells its successor which copies are complete.
+    /// The leaseholder then confirms the epoch in the replicated log, and dispatches only after
+    /// that: the confirmation tells its successor which copies are complete.
     pub fn is_established(&self) -> bool {
         let holds =
             |standby: &StandbyProgress| matches!(standby.state, StandbyState::HoldsBelow(_));
--- a/crates/control/src/recovery.rs
+++ b/crates/control/src/recovery.rs
@@ -38,7 +38,7 @@
 /// Merges the surviving copies, for a leaseholder that takes over.
 ///
 /// `confirmed` is the last epoch whose journal was complete at every standby according to the
-/// agreed log. `takeover_ms` is the wall clock, in milliseconds since the Unix epoch, after the
+/// replicated log. `takeover_ms` is the wall clock, in milliseconds since the Unix epoch, after the
 /// former leaseholder's lease has ended.
 ///
 /// The result is complete if a complete copy of the confirmed or a later epoch survived. A
--- a/crates/control/src/replacement.rs
+++ b/crates/control/src/replacement.rs
@@ -35,7 +35,7 @@
 pub enum ReplacementAction {
     /// Request a report from every instance except the one that is replaced.
     AskInstances,
-    /// Request a fencing token for the promotion of this instance from the agreed log.
+    /// Request a fencing token for the promotion of this instance from the replicated log.
     ProposeNumber(InstanceName),
     /// Order the promotion of this instance with this fencing token.
     GiveOrder(InstanceName, u64),
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Processes the fencing token that the agreed log has issued.
+    /// Processes the fencing token that the replicated log has issued.
     pub fn receive_token(&mut self, now: ClockTime, token: u64) -> ReplacementActions {
         self.token = Some(token);
         self.handle(now, ReplacementEvent::NumberIssued)
--- a/crates/control/src/replacement_chart.rs
+++ b/crates/control/src/replacement_chart.rs
@@ -12,7 +12,7 @@
         Steady,
         /// The other instances are asked for their positions.
         Asking,
-        /// The agreed log is asked for a fencing token.
+        /// The replicated log is asked for a fencing token.
         Numbering,
         /// The promotion is being ordered.
         Ordering,
@@ -28,9 +28,9 @@
         Wanted,
         /// All instances have replied, or the time for it is over.
         AskedEnough,
-        /// The agreed log has issued a fencing token.
+        /// The replicated log has issued a fencing token.
         NumberIssued,
-        /// The agreed log refused a fencing token because another VM leads the group.
+        /// The replicated log refused a fencing token because another VM leads the group.
         NumberRefused,
         /// The reply to the request for a fencing token was lost.
         NumberUnknown,
@@ -63,7 +63,7 @@
         /// Asks the other instances for their positions.
         AskInstances,
         /// Chooses the instance with the highest position and requests a fencing token from the
-        /// agreed log.
+        /// replicated log.
         ProposeNumber,
         /// Orders the promotion.
         GiveOrder,
--- a/crates/control/tests/agreement_guards.rs
+++ b/crates/control/tests/agreement_guards.rs
@@ -1,4 +1,4 @@
-//! The failure that each guard of the agreed log prevents. Each test runs the same sequence of
+//! The failure that each guard of the replicated log prevents. Each test runs the same sequence of
 //! events twice: with all guards, where the failure must not occur, and without the one guard,
 //! where it must.
 
--- a/crates/control/tests/agreement_random.rs
+++ b/crates/control/tests/agreement_random.rs
@@ -1,4 +1,4 @@
-//! Random runs of the agreed log over three and five VMs, with fixed seeds.
+//! Random runs of the replicated log over three and five VMs, with fixed seeds.
 //!
 //! Each run mixes proposals and reads with lost, duplicated, delayed and reordered messages,
 //! network partitions, frozen processes, crashes at syncs, lost and remounted disks, long isolation
--- a/crates/control/tests/state/journal.rs
+++ b/crates/control/tests/state/journal.rs
@@ -379,7 +379,7 @@
     runs: BTreeMap<u8, u32>,
     late: Vec<(u8, JournalAppend)>,
     now_ms: u64,
-    /// The last epoch that is confirmed in the agreed log.
+    /// The last epoch that is confirmed in the replicated log.
     confirmed: PlacementEpoch,
 }
 
--- a/crates/daemon/src/control/commands.rs
+++ b/crates/daemon/src/control/commands.rs
@@ -65,7 +65,8 @@
         });
     }
 
-    /// Proposes a command to the agreed log; its entry's outcome goes to `reply`, if there is one.
+    /// Proposes a command to the replicated log; its entry's outcome goes to `reply`, if there is
+    /// one.
     pub(super) fn propose(
         &mut self,
         command: &CatalogCommand,
--- a/crates/daemon/src/control/event.rs
+++ b/crates/daemon/src/control/event.rs
@@ -28,7 +28,7 @@
 /// An input of the control task.
 #[derive(Debug)]
 pub enum ControlEvent {
-    /// A peer's message of the agreed log.
+    /// A peer's message of the replicated log.
     PeerMessage(AgreementEnvelope),
     /// Commits a command.
     Propose(CommandRequest, oneshot::Sender<CommandReply>),
--- a/crates/daemon/src/control/heartbeats.rs
+++ b/crates/daemon/src/control/heartbeats.rs
@@ -51,7 +51,7 @@
     /// heartbeat is answered.
     ///
     /// No lease is granted here, since that needs a confirmed leadership. The admission is an entry
-    /// of the agreed log, which can only be committed by the true leader.
+    /// of the replicated log, which can only be committed by the true leader.
     pub(super) fn note_nonmember(&mut self, request: &HeartbeatRequest) {
         let id = &request.member.id;
         let known = self.catalog.member(&id.vm);
@@ -71,7 +71,8 @@
         }
     }
 
-    /// Asks the agreed log to confirm that this VM still leads, for all waiting heartbeats at once.
+    /// Asks the replicated log to confirm that this VM still leads, for all waiting heartbeats at
+    /// once.
     ///
     /// Without it, a leader that was cut off and replaced would go on granting leases while its
     /// successor already places the groups on other VMs.
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -1,6 +1,5 @@
-//! Runs the control role of a VM: the agreed log (the replicated log of the control VMs), the
-//! catalog that results from its committed entries, and the ledger of leases that the leader
-//! grants.
+//! Runs the control role of a VM: the replicated log of the control VMs, the catalog that results
+//! from its committed entries, and the ledger of leases that the leader grants.
 //!
 //! One task owns all three and the log file. Every input reaches it as a [`ControlEvent`]; calls to
 //! other VMs run in child tasks. No message or reply leaves the task before the log writes that it
@@ -87,7 +86,7 @@
     log_bytes: u64,
     node: AgreementNode,
     catalog: CatalogState,
-    /// The leases; `None` unless this VM leads the agreed log.
+    /// The leases; `None` unless this VM leads the replicated log.
     ledger: Option<LeaseLedger>,
     ticks: u64,
     /// The last log index that the snapshot covers.
@@ -219,7 +218,7 @@
         Ok(())
     }
 
-    /// Advances the agreed log's timers, forwards heartbeats and proposes due changes.
+    /// Advances the replicated log's timers, forwards heartbeats and proposes due changes.
     fn handle_tick(&mut self) {
         self.ticks += 1;
         self.node.tick();
@@ -268,8 +267,8 @@
         }
     }
 
-    /// Persists the agreed log's output and carries it out until there is none left; then compacts
-    /// the log and sends the replies that are due.
+    /// Persists the replicated log's output and carries it out until there is none left; then
+    /// compacts the log and sends the replies that are due.
     async fn process_outputs(&mut self) -> Result<(), ControlFault> {
         loop {
             self.propose_due_admissions();
@@ -298,7 +297,7 @@
         Ok(())
     }
 
-    /// Carries out an output of the agreed log: messages, snapshots, committed entries, and
+    /// Carries out an output of the replicated log: messages, snapshots, committed entries, and
     /// confirmed or lost reads.
     ///
     /// # Errors
@@ -450,7 +449,7 @@
         }
     }
 
-    /// Forms the first voter set; returns false if the agreed log refuses it.
+    /// Forms the first voter set; returns false if the replicated log refuses it.
     fn form(&mut self, voters: &[MemberId]) -> bool {
         let voters = voters.iter().map(|id| VoterId {
             vm: id.vm.clone(),
--- a/crates/daemon/src/control/peers.rs
+++ b/crates/daemon/src/control/peers.rs
@@ -30,7 +30,7 @@
 use tokio::sync::mpsc;
 
 /// The largest number of messages that wait for one peer. Newer messages make older ones obsolete,
-/// and the agreed log repeats what it needs.
+/// and the replicated log repeats what it needs.
 const PEER_QUEUE_CAPACITY: usize = 256;
 
 /// The known control VMs other than this one.
@@ -123,7 +123,7 @@
 }
 
 impl ControlTask {
-    /// Learns the sender's address and passes its message to the agreed log.
+    /// Learns the sender's address and passes its message to the replicated log.
     pub(super) fn handle_envelope(&mut self, envelope: &AgreementEnvelope) {
         if let Some(address) = envelope.from_address {
             self.learn_peer(&envelope.from, address);
@@ -187,7 +187,7 @@
                 .spawn(send_messages(links, entry.address, limit, queue));
             sender
         });
-        // A full queue drops the newest message, which the agreed log repeats.
+        // A full queue drops the newest message, which the replicated log repeats.
         let _ = queue.try_send(envelope);
     }
 
--- a/crates/daemon/src/control/voters.rs
+++ b/crates/daemon/src/control/voters.rs
@@ -1,4 +1,4 @@
-//! Maintains the voters of the agreed log: admits control VMs up to a limit, and removes voters
+//! Maintains the voters of the replicated log: admits control VMs up to a limit, and removes voters
 //! that are lost for good where that makes the majority smaller.
 
 use super::ControlTask;
--- a/crates/daemon/src/group/journaling.rs
+++ b/crates/daemon/src/group/journaling.rs
@@ -3,8 +3,8 @@
 //! The journal holds request keys with their verdicts and the sessions' last write positions. A new
 //! leaseholder collects the copies of the VMs of the present and the previous placement, merges
 //! them, and sends every standby what it lacks. Once all standbys hold the whole journal, its epoch
-//! is confirmed in the agreed log. Until then nothing that depends on the journal is dispatched, so
-//! that a later leaseholder knows which copies are complete.
+//! is confirmed in the replicated log. Until then nothing that depends on the journal is
+//! dispatched, so that a later leaseholder knows which copies are complete.
 
 use super::GroupTask;
 use super::intake::unix_millis;
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Confirms the epoch in the agreed log once every standby holds the whole journal.
+    /// Confirms the epoch in the replicated log once every standby holds the whole journal.
     ///
     /// No request that must be journaled is dispatched earlier. Otherwise a successor could not
     /// distinguish a complete copy from an outdated one, and would either run a request twice or
--- a/crates/daemon/src/group/mod.rs
+++ b/crates/daemon/src/group/mod.rs
@@ -168,7 +168,7 @@
     journal: Option<GroupJournal>,
     /// When the journal was recovered.
     journal_recovered_at: ClockTime,
-    /// The last epoch whose journal this task has confirmed in the agreed log.
+    /// The last epoch whose journal this task has confirmed in the replicated log.
     confirmed_journal_epoch: PlacementEpoch,
     /// The epoch whose confirmation has been proposed.
     confirming_epoch: Option<PlacementEpoch>,
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -205,7 +205,8 @@
 
 /// Waits until the relay is in [`RelayMode::Open`]; never returns for a silent connection.
 async fn wait_until_open(state: &mut watch::Receiver<RelayState>, silence_count: u64) {
-    let open = |state: &RelayState| state.mode == RelayMode::Open && state.silence_count == silence_count;
+    let open =
+        |state: &RelayState| state.mode == RelayMode::Open && state.silence_count == silence_count;
     if state.wait_for(open).await.is_err() {
         std::future::pending().await
     }
--- a/crates/types/src/catalog.rs
+++ b/crates/types/src/catalog.rs
@@ -30,7 +30,7 @@
 /// The standbys of a group, usually two.
 pub type StandbyList = SmallVec<[VmName; 2]>;
 
-/// A change to the catalog, as an entry of the agreed log.
+/// A change to the catalog, as an entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CatalogCommand {
     /// Changes a contract, on behalf of an operator.
