--- a/crates/lab/src/caller.rs
+++ b/crates/lab/src/caller.rs
@@ -258,7 +258,7 @@
 }
 
 /// Converts a server's error to a verdict. A gateway states in the error's detail that a request was not
-/// run; an endpoint rejects statements by a SQLSTATE of class 53 (too many connections) or 57P0x (fenced
+/// run; an endpoint refuses statements by a SQLSTATE of class 53 (too many connections) or 57P0x (fenced
 /// or shutting down).
 fn classify_error(error: &DbError) -> CallerVerdict {
     let sqlstate = error.code().code();
--- a/crates/lab/src/data_port.rs
+++ b/crates/lab/src/data_port.rs
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Rejects all commands but those that end the transaction or query the position once a
+    /// Refuses all commands but those that end the transaction or query the position once a
     /// statement of the transaction has failed.
     async fn refuse_in_failed_transaction(&self, command: &LabCommand) -> PgWireResult<()> {
         let transaction = self.transaction.lock().await;
--- a/crates/lab/src/instance.rs
+++ b/crates/lab/src/instance.rs
@@ -2,7 +2,7 @@
 //! I/O.
 //!
 //! It gives the guarantees that the platform gives for a database group. Once fenced at a term, an
-//! instance rejects every earlier term. A promoted instance begins its term with an empty log entry. A
+//! instance refuses every earlier term. A promoted instance begins its term with an empty log entry. A
 //! follower truncates its log to the prefix that it shares with its primary before it appends the
 //! primary's entries, so that all logs of a group converge.
 
@@ -72,11 +72,11 @@
     Primary,
     /// Accepts reads only.
     Replica,
-    /// A fenced former primary: rejects all statements until it follows a primary or is promoted.
+    /// A fenced former primary: refuses all statements until it follows a primary or is promoted.
     Fenced,
 }
 
-/// The reason for which an instance rejected a statement. A rejected statement has no effect.
+/// The reason for which an instance refused a statement. A refused statement has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatementFault {
     /// The instance was fenced at this term, at present or since the connection was opened.
@@ -197,7 +197,7 @@
 
     /// Returns the generation, a counter that is incremented whenever a primary is fenced.
     ///
-    /// A connection keeps the generation in which it was opened, and all its statements are rejected
+    /// A connection keeps the generation in which it was opened, and all its statements are refused
     /// once the instance is in a later one. Otherwise a position queried after the instance has
     /// joined a later term would appear to cover a write that the truncation dropped, and the proxy
     /// would acknowledge a lost write.
@@ -215,7 +215,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`StatementFault`] if the statement must be rejected.
+    /// Returns a [`StatementFault`] if the statement must be refused.
     pub fn check(&self, generation: u64, writes: bool) -> Result<(), StatementFault> {
         if generation != self.generation {
             return Err(StatementFault::Fenced(self.fenced_term));
@@ -232,7 +232,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`StatementFault`] if the statement must be rejected.
+    /// Returns a [`StatementFault`] if the statement must be refused.
     pub fn read(&self, generation: u64, key: &str) -> Result<Option<String>, StatementFault> {
         self.check(generation, false)?;
         Ok(self.values.get(key).cloned())
@@ -242,7 +242,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`StatementFault`] if the statement must be rejected; nothing is applied then.
+    /// Returns a [`StatementFault`] if the statement must be refused; nothing is applied then.
     pub fn commit(
         &mut self,
         generation: u64,
@@ -258,7 +258,7 @@
         Ok(self.position())
     }
 
-    /// Fences the instance: it rejects every term before `term` from now on.
+    /// Fences the instance: it refuses every term before `term` from now on.
     ///
     /// Fencing is idempotent; an instance that is already in `term` stays as it is.
     pub fn fence(&mut self, term: GroupTerm) -> FenceReply {
--- a/crates/lab/src/instance_task.rs
+++ b/crates/lab/src/instance_task.rs
@@ -182,7 +182,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`StatementFault`] if the statement must be rejected.
+    /// Returns a [`StatementFault`] if the statement must be refused.
     pub async fn check(&self, generation: u64, writes: bool) -> Result<(), StatementFault> {
         self.ask(|reply| InstanceCommand::Check(generation, writes, reply))
             .await
@@ -192,7 +192,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`StatementFault`] if the statement must be rejected.
+    /// Returns a [`StatementFault`] if the statement must be refused.
     pub async fn read(&self, generation: u64, key: &str) -> Result<Option<String>, StatementFault> {
         let key = key.to_owned();
         self.ask(|reply| InstanceCommand::Read(generation, key, reply))
@@ -203,7 +203,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`StatementFault`] if the statement must be rejected; nothing is applied then.
+    /// Returns a [`StatementFault`] if the statement must be refused; nothing is applied then.
     pub async fn commit(
         &self,
         generation: u64,
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -348,7 +348,7 @@
     }
 
     /// Sends a request again with the same request key, through another gateway. Only an
-    /// acknowledgement makes the outcome certain: a rejection of the second attempt says nothing about
+    /// acknowledgement makes the outcome certain: a refusal of the second attempt says nothing about
     /// the first one.
     async fn resend(&mut self, class: LoadClass, statement: &str) -> WriteOutcome {
         sleep(RESEND_PAUSE).await;
--- a/crates/lab/src/load_report.rs
+++ b/crates/lab/src/load_report.rs
@@ -79,7 +79,7 @@
     pub counts: ClassCounts,
     /// The latency of requests that ran.
     pub answered: LatencyQuantiles,
-    /// The latency of requests that were answered "not run". It matters because a rejection helps the
+    /// The latency of requests that were answered "not run". It matters because a refusal helps the
     /// caller only if it comes early.
     pub refused: LatencyQuantiles,
 }
--- a/crates/lab/src/oracle.rs
+++ b/crates/lab/src/oracle.rs
@@ -3,7 +3,7 @@
 //!
 //! Callers write to *cells* by `put`, with consecutively numbered values from a single writer, and to
 //! *lists* by `append`, with unique tokens. From these the check detects lost, duplicated and wrongly
-//! rejected writes, values under a wrong key, violations of read-your-writes, and reads that are staler
+//! refused writes, values under a wrong key, violations of read-your-writes, and reads that are staler
 //! than allowed. Times are in microseconds since the start of the load, and are given by the caller.
 
 use std::collections::BTreeMap;
--- a/crates/lab/src/set_calls.rs
+++ b/crates/lab/src/set_calls.rs
@@ -40,7 +40,7 @@
     NotReady(Vec<String>),
     /// A group wasn't whole in time, for this reason; see [`crate::lab_queries`].
     NotWhole(String),
-    /// A request was rejected or not fulfilled in time, for this reason.
+    /// A request was refused or not fulfilled in time, for this reason.
     Refused(String),
     /// These processes didn't exit with status 0 in time.
     BadEnd(Vec<String>),
@@ -145,7 +145,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`SetFault::Refused`] if the contract is rejected, or not in force within 20 s.
+/// Returns [`SetFault::Refused`] if the contract is refused, or not in force within 20 s.
 pub async fn apply_contract(peers: SocketAddr, contract: CustomerContract) -> Result<(), SetFault> {
     let end = Instant::now() + CONTRACT_TIMEOUT;
     let client = agent_client(peers)?;
--- a/crates/lab/tests/endpoint.rs
+++ b/crates/lab/tests/endpoint.rs
@@ -37,7 +37,7 @@
     statements_and_transactions => statements_and_transactions_case();
     /// The position query echoes its identifier, by which a client matches answers to queries.
     position_echoes_its_identifier => position_case();
-    /// A connection above the limit of 16 is rejected at once, and accepted after another one is closed.
+    /// A connection above the limit of 16 is refused at once, and accepted after another one is closed.
     connection_limit => connection_limit_case();
     /// Three concurrent statements on two slots take two service times.
     slots_bound_concurrency => slots_case();
@@ -56,7 +56,7 @@
     /// A former primary with entries that weren't replicated becomes a follower: it drops these entries
     /// and gets those of the new primary.
     follow_truncates => truncation_case();
-    /// A replica serves reads from its own lagging state and rejects writes.
+    /// A replica serves reads from its own lagging state and refuses writes.
     replica_reads_and_lag => replica_case();
     /// Silenced connections never answer again, while a new connection works.
     silent_connections => silent_case();
--- a/crates/lab/tests/instance.rs
+++ b/crates/lab/tests/instance.rs
@@ -85,7 +85,7 @@
                 value: self.writes.to_string(),
             };
             let generation = core.generation();
-            // Replicas and fenced instances reject the write.
+            // Replicas and fenced instances refuse the write.
             let _ = core.commit(generation, vec![write], self.writes);
         }
     }
--- a/crates/lab/tests/oracle.rs
+++ b/crates/lab/tests/oracle.rs
@@ -84,7 +84,7 @@
 }
 
 oracle_cases! {
-    /// Acknowledged appends are present once, those that may have run are present or absent, and rejected
+    /// Acknowledged appends are present once, those that may have run are present or absent, and refused
     /// ones are absent.
     allowed_history: [
         append("a", 1, Acknowledged(10)),
@@ -103,7 +103,7 @@
     /// An append that was answered "not run" is in the final list.
     refused_but_run: [append("a", 1, NotRun), end("list=a=1")]
         => [OracleViolation::RefusedButRun("list=a=1".to_owned())];
-    /// A rejected append is read before its caller is told of the rejection, and is absent at the end.
+    /// A refused append is read before its caller is told of the refusal, and is absent at the end.
     refused_but_seen_before_its_answer: [
         vec![OracleEvent::StartAppend(token("a", 1))],
         read("b", 20, 0, "list=a=1"),
@@ -135,7 +135,7 @@
         => [unseen("cell", "cell=2", "cell=1")];
     /// A read returns a put that may have run, or the acknowledged put before it.
     later_put_seen: [put(Acknowledged(10)), put(MayHaveRun), cell("cell=2"), cell("cell=1")] => [];
-    /// A read returns a rejected put.
+    /// A read returns a refused put.
     refused_put_seen: [put(NotRun), cell("cell=1")]
         => [OracleViolation::RefusedButRun("cell=1".to_owned())];
     /// A read of a cell returns the value of another cell.
--- a/crates/lab/tests/whole.rs
+++ b/crates/lab/tests/whole.rs
@@ -58,7 +58,7 @@
 }
 
 whole_cases! {
-    /// The primary's process is killed. Callers may get rejections and uncertain outcomes until a successor
+    /// The primary's process is killed. Callers may get refusals and uncertain outcomes until a successor
     /// serves; no acknowledged write may be lost.
     primary_is_killed => (KillPrimary, 101);
     /// The primary is frozen and thawed after it has been replaced. Its late answers must not be used.
@@ -81,7 +81,7 @@
     /// Guards against a group that stays without a primary. The primary announces that it is leaving while
     /// the leaseholder is killed; both have ended before the next leaseholder begins, and both are restarted
     /// empty. The next leaseholder has never had an announcement of that primary and must replace it
-    /// nevertheless, or callers are rejected for good. Found by the soak with seed 2.
+    /// nevertheless, or callers are refused for good. Found by the soak with seed 2.
     primary_leaves_while_the_leaseholder_dies => (LeavePrimaryAndKillLeaseholder, 109);
 }
 
