--- a/crates/daemon/src/group/describing.rs
+++ b/crates/daemon/src/group/describing.rs
@@ -172,7 +172,7 @@
         );
         if *outcome == DescribeOutcome::Lost {
             let instance = connection.instance.clone();
-            self.ping_idle_connections(&instance);
+            self.validate_idle_connections(&instance);
         }
     }
 
--- a/crates/daemon/src/group/outcomes.rs
+++ b/crates/daemon/src/group/outcomes.rs
@@ -42,7 +42,7 @@
                 self.handle_described(id, outcome);
                 self.drop_unusable_connection(event.id);
             }
-            ConnectionChange::PingAnswered => self.handle_ping_answer(event.id),
+            ConnectionChange::PingAnswered => self.end_validation(event.id),
             ConnectionChange::Closed => self.handle_closed(event.id),
         }
     }
@@ -79,7 +79,7 @@
         if connection.retired {
             return;
         }
-        if connection.awaiting_ping {
+        if connection.validating {
             self.scheduler
                 .connection_validation_ended(&connection.instance);
         }
@@ -88,7 +88,7 @@
             // If the connection had been marked unusable, the cause was reported before, and its
             // end says nothing new about the other connections.
             if !connection.unusable {
-                self.ping_idle_connections(&connection.instance);
+                self.validate_idle_connections(&connection.instance);
             }
         } else {
             self.scheduler.connection_failed(now, &connection.instance);
@@ -129,31 +129,31 @@
                 );
             }
             RunOutcome::Lost => {
-                self.ping_idle_connections(&instance);
+                self.validate_idle_connections(&instance);
                 self.handle_lost_answer(ticket, DoubtCause::EndpointLost);
             }
             RunOutcome::Silent => {
-                self.ping_idle_connections(&instance);
+                self.validate_idle_connections(&instance);
                 self.handle_lost_answer(ticket, DoubtCause::EndpointSilent);
             }
             RunOutcome::Mismatch => self.handle_lost_answer(ticket, DoubtCause::AnswerMismatch),
         }
     }
 
-    /// Lets a connection that answered its ping take statements again.
-    fn handle_ping_answer(&mut self, id: ConnectionId) {
+    /// Ends the validation of a connection that answered its ping, which takes statements again.
+    fn end_validation(&mut self, id: ConnectionId) {
         if let Some(connection) = self.pool.connection(id)
-            && std::mem::take(&mut connection.awaiting_ping)
+            && std::mem::take(&mut connection.validating)
         {
             let instance = connection.instance.clone();
             self.scheduler.connection_validation_ended(&instance);
         }
     }
 
-    /// Pings an instance's idle connections and keeps statements away from them until they have
-    /// answered.
-    pub(super) fn ping_idle_connections(&mut self, instance: &InstanceName) {
-        for _ in 0..self.pool.ping_idle(instance) {
+    /// Starts the validation of an instance's idle connections, which keeps statements away from them
+    /// until they have answered.
+    pub(super) fn validate_idle_connections(&mut self, instance: &InstanceName) {
+        for _ in 0..self.pool.validate_idle(instance) {
             self.scheduler.connection_validation_started(instance);
         }
     }
--- a/crates/daemon/src/group/pool.rs
+++ b/crates/daemon/src/group/pool.rs
@@ -66,8 +66,8 @@
     /// Whether it takes no further statement, because an answer is outstanding or a cancel was sent
     /// on it.
     pub unusable: bool,
-    /// Whether a ping must be answered before it takes another statement.
-    pub awaiting_ping: bool,
+    /// Whether it is under validation: a ping must be answered before it takes another statement.
+    pub validating: bool,
     /// Whether its endpoint has been removed; the scheduler no longer counts the connection.
     pub retired: bool,
     commands: mpsc::Sender<ConnectionCommand>,
@@ -76,7 +76,7 @@
 impl PoolConnection {
     fn is_idle(&self) -> bool {
         let in_use = self.running.is_some() || self.pinned.is_some();
-        self.open && !self.unusable && !self.awaiting_ping && !in_use
+        self.open && !self.unusable && !self.validating && !in_use
     }
 
     /// Sends a command to the connection's task and returns whether it was accepted.
@@ -224,7 +224,7 @@
             running: None,
             pinned: None,
             unusable: false,
-            awaiting_ping: false,
+            validating: false,
             retired: false,
             commands,
         };
@@ -280,16 +280,17 @@
             .collect()
     }
 
-    /// Pings every idle connection to an instance and returns how many were pinged.
+    /// Starts the validation of every idle connection to an instance by a ping, and returns their
+    /// number.
     ///
     /// One silent connection suggests that a device on the path has dropped the state of them all,
     /// which the next statements would otherwise discover one by one.
-    pub fn ping_idle(&mut self, instance: &InstanceName) -> usize {
+    pub fn validate_idle(&mut self, instance: &InstanceName) -> usize {
         let all = self.connections.values_mut();
         let mut count = 0;
         for connection in all.filter(|one| one.instance == *instance && one.is_idle()) {
             if connection.send(ConnectionCommand::Ping) {
-                connection.awaiting_ping = true;
+                connection.validating = true;
                 count += 1;
             }
         }
--- a/crates/daemon/src/group/probing.rs
+++ b/crates/daemon/src/group/probing.rs
@@ -126,7 +126,7 @@
             group = self.group,
             instance = primary,
         );
-        self.ping_idle_connections(primary);
+        self.validate_idle_connections(primary);
         if let Some(entry) = self.pool.endpoint(primary) {
             let address = entry.announcement.agent_address;
             let links = self.context.links.clone();
--- a/crates/daemon/src/native/link.rs
+++ b/crates/daemon/src/native/link.rs
@@ -86,8 +86,8 @@
     Statement(StatementId),
     /// Request the endpoint's report of its role, term and position.
     Report,
-    /// Check that the endpoint still answers on an idle connection.
-    LivenessCheck,
+    /// Validate an idle connection: check that the endpoint still answers on it.
+    ConnectionValidation,
 }
 
 /// An event of a connection, sent to the leaseholder.
--- a/crates/daemon/src/native/outcomes.rs
+++ b/crates/daemon/src/native/outcomes.rs
@@ -119,22 +119,22 @@
                 self.handle_outcome(ticket, id, &instance, outcome);
             }
             (LinkPurpose::Report, _) => self.handle_report(&instance, outcome.result),
-            (LinkPurpose::LivenessCheck, _) => self.handle_liveness_check(id, answered),
+            (LinkPurpose::ConnectionValidation, _) => self.handle_validation_result(id, answered),
             (LinkPurpose::Statement(_), _) => {}
         }
         if !answered && was_open {
-            self.check_idle_connections(&instance);
+            self.validate_idle_connections(&instance);
         }
     }
 
-    /// Ends a liveness check. A connection that answered may be used again, without the session state that
-    /// the check's reset has cleared; one that did not answer is marked unusable.
-    fn handle_liveness_check(&mut self, id: LinkId, answered: bool) {
+    /// Ends a connection's validation. A connection that answered may be used again, without the session
+    /// state that the validation's reset has cleared; one that did not answer is marked unusable.
+    fn handle_validation_result(&mut self, id: LinkId, answered: bool) {
         let Some(connection) = self.pool.connection_mut(id) else {
             return;
         };
         connection.image.clear();
-        if std::mem::take(&mut connection.checking) {
+        if std::mem::take(&mut connection.validating) {
             let instance = connection.instance.clone();
             self.scheduler.connection_validation_ended(&instance);
         }
@@ -170,7 +170,7 @@
         if let ConnectionWork::Statement(ticket) = connection.work {
             self.handle_lost(ticket, &instance, DoubtCause::EndpointLost);
         }
-        if connection.checking {
+        if connection.validating {
             self.scheduler.connection_validation_ended(&instance);
         }
         if !connection.retired {
@@ -184,7 +184,7 @@
         }
         match (connection.open, cause) {
             (true, CloseCause::Broken | CloseCause::Silent) if !connection.unusable => {
-                self.check_idle_connections(&instance);
+                self.validate_idle_connections(&instance);
             }
             (false, cause) => self.handle_failed_open(&instance, connection.address, cause),
             _ => {}
@@ -477,15 +477,15 @@
         }
     }
 
-    /// Starts a liveness check on each idle connection of an instance, which keeps statements off it until
-    /// it has answered.
+    /// Starts the validation of each idle connection of an instance, which keeps statements off it until it
+    /// has answered.
     ///
     /// One silent connection suggests that a device on the path, such as a firewall, has dropped the state
     /// of all of them. Each would otherwise cost a statement a timeout.
-    pub(super) fn check_idle_connections(&mut self, instance: &InstanceName) {
+    pub(super) fn validate_idle_connections(&mut self, instance: &InstanceName) {
         for id in self.pool.links_of(instance) {
             let idle = self.pool.connection(id).is_some_and(|one| one.is_idle());
-            if idle && self.send_liveness_check(id) {
+            if idle && self.start_validation(id) {
                 self.scheduler.connection_validation_started(instance);
             }
         }
--- a/crates/daemon/src/native/pool.rs
+++ b/crates/daemon/src/native/pool.rs
@@ -93,8 +93,8 @@
     pub(super) pinned: Option<TransactionId>,
     /// Whether it takes no further orders.
     pub(super) unusable: bool,
-    /// Whether a liveness check is under way, which keeps statements off it.
-    pub(super) checking: bool,
+    /// Whether it is under validation, which keeps statements off it.
+    pub(super) validating: bool,
     /// Whether its endpoint was removed, so that the scheduler doesn't count it any more.
     pub(super) retired: bool,
     /// The session state that earlier statements left on it.
@@ -124,14 +124,14 @@
     Nothing,
     /// A caller's statement.
     Statement(RequestTicket),
-    /// A report request or liveness check of the leaseholder.
+    /// A report request or connection validation of the leaseholder.
     Internal,
 }
 
 impl NativeConnection {
     pub(super) fn is_idle(&self) -> bool {
         let free = self.work == ConnectionWork::Nothing && self.pinned.is_none();
-        self.open && free && !self.unusable && !self.checking
+        self.open && free && !self.unusable && !self.validating
     }
 
     /// Queues an order at the connection's task; returns false if the task has ended or its queue is full.
@@ -290,7 +290,7 @@
             work: ConnectionWork::Nothing,
             pinned: None,
             unusable: false,
-            checking: false,
+            validating: false,
             retired: false,
             image: ConnectionImage::default(),
             last_used: now,
--- a/crates/daemon/src/native/primary.rs
+++ b/crates/daemon/src/native/primary.rs
@@ -151,18 +151,18 @@
         )
     }
 
-    /// Checks that a connection still answers, by a reset, which takes no slot of the endpoint. It clears
-    /// the connection's session state.
-    pub(super) fn send_liveness_check(&mut self, id: LinkId) -> bool {
+    /// Starts the validation of a connection by a reset, which takes no slot of the endpoint. It clears the
+    /// connection's session state.
+    pub(super) fn start_validation(&mut self, id: LinkId) -> bool {
         let limit = Duration::from_millis(self.context.settings.timing.probe_timeout_ms * 2);
         let ordered = self.send_internal(
             id,
-            LinkPurpose::LivenessCheck,
+            LinkPurpose::ConnectionValidation,
             EndpointCommand::Reset,
             limit,
         );
         if ordered && let Some(connection) = self.pool.connection_mut(id) {
-            connection.checking = true;
+            connection.validating = true;
         }
         ordered
     }
--- a/crates/daemon/src/native/ticking.rs
+++ b/crates/daemon/src/native/ticking.rs
@@ -19,11 +19,11 @@
 /// Ticks between two checks of idle connections and of primaries whose term isn't known.
 const MAINTENANCE_TICKS: u64 = 20;
 
-/// Number of rounds over which the liveness checks are spread that are due at the same time.
-const LIVENESS_CHECK_ROUNDS: usize = 4;
+/// Number of rounds over which the connection validations are spread that are due at the same time.
+const VALIDATION_ROUNDS: usize = 4;
 
-/// How long an account's unused connection is kept beyond what the load needs. Its repeated liveness
-/// checks cost the endpoint as much as a few statements in that time.
+/// How long an account's unused connection is kept beyond what the load needs. Its repeated
+/// validations cost the endpoint as much as a few statements in that time.
 const ACCOUNT_KEEP_TIME: Duration = Duration::from_secs(6);
 
 impl NativeTask {
@@ -47,7 +47,7 @@
         }
         if care_due {
             self.request_needed_reports();
-            self.check_long_idle_connections();
+            self.validate_long_idle_connections();
         }
         if metrics_due {
             self.update_metrics();
@@ -68,12 +68,12 @@
         }
     }
 
-    /// Starts liveness checks on connections that were idle for long, and closes those that the load
-    /// doesn't need any more.
+    /// Starts the validation of connections that were idle for long, and closes those that the load doesn't
+    /// need any more.
     ///
     /// A device on the path, such as a firewall, may have dropped the state of an idle connection, which
-    /// then looks open and never answers. The check finds that before a caller's statement does.
-    fn check_long_idle_connections(&mut self) {
+    /// then looks open and never answers. The validation finds that before a caller's statement does.
+    fn validate_long_idle_connections(&mut self) {
         let now = self.now();
         let limit = Duration::from_millis(self.context.settings.timing.idle_ping_ms);
         for instance in self.pool.names() {
@@ -81,15 +81,15 @@
             let idle = own.filter(|(_, one)| one.instance == instance && one.is_idle());
             let idle = idle.filter(|(_, one)| now.since(one.last_used) >= limit);
             let idle: Vec<LinkId> = idle.map(|(id, _)| id).collect();
-            // Statements can't use a connection during its check, so only a part is checked at once.
-            let asked = idle.len().div_ceil(LIVENESS_CHECK_ROUNDS);
+            // Statements can't use a connection under validation, so only a part is validated at once.
+            let asked = idle.len().div_ceil(VALIDATION_ROUNDS);
             for id in idle.into_iter().take(asked) {
-                self.close_or_check(id, &instance);
+                self.close_or_validate(id, &instance);
             }
         }
     }
 
-    fn close_or_check(&mut self, id: LinkId, instance: &InstanceName) {
+    fn close_or_validate(&mut self, id: LinkId, instance: &InstanceName) {
         let surplus = self.scheduler.surplus_connections(instance) > 0;
         // Any account may be the next to call, and each needs a connection of its own, so connections are
         // kept for longer than the total load requires.
@@ -101,7 +101,7 @@
         let kept = self.by_account && unused < ACCOUNT_KEEP_TIME && !scarce;
         if surplus && !kept {
             self.handle_closed(id, CloseCause::Released);
-        } else if self.send_liveness_check(id) {
+        } else if self.start_validation(id) {
             self.scheduler.connection_validation_started(instance);
         }
     }
