--- a/crates/types/src/account.rs
+++ b/crates/types/src/account.rs
@@ -44,7 +44,7 @@
         // The original error is dropped, because it would quote the input.
         let text = String::deserialize(deserializer);
         text.map(Self)
-            .map_err(|_| D::Error::custom("expected a key as a string"))
+            .map_err(|_| D::Error::custom("a key is a text"))
     }
 }
 
@@ -57,7 +57,7 @@
     deserializer: D,
 ) -> Result<Vec<AccountKey>, D::Error> {
     let keys = Vec::deserialize(deserializer);
-    keys.map_err(|_| D::Error::custom("expected keys as a list of strings"))
+    keys.map_err(|_| D::Error::custom("keys are a list of texts"))
 }
 
 /// A client account, as configured by an operator.
