--- a/crates/control/src/catalog.rs
+++ b/crates/control/src/catalog.rs
@@ -193,7 +193,7 @@
             }
             CatalogCommand::ApplyDocument(document) => self.apply_document(revision, document),
             CatalogCommand::IssueToken(request) => self.issue_token(revision, request),
-            CatalogCommand::RecordEndpoints(notes) => self.record_endpoints(revision, notes),
+            CatalogCommand::RecordEndpoints(recorded) => self.record_endpoints(revision, recorded),
             CatalogCommand::AdmitMember(member) => self.admit_member(revision, member),
             CatalogCommand::RemoveMember(id) => self.remove_member(revision, id),
             CatalogCommand::PlaceGroup(placement) => self.place_group(revision, placement),
@@ -201,7 +201,9 @@
             CatalogCommand::RemoveInstance(change) => self.remove_instance(revision, change),
             CatalogCommand::BeginTerm(start) => self.begin_term(revision, start),
             CatalogCommand::RecordPrimary(record) => self.record_primary(revision, record),
-            CatalogCommand::ConfirmJournal(mark) => self.confirm_journal(revision, mark),
+            CatalogCommand::ConfirmJournal(confirmation) => {
+                self.confirm_journal(revision, confirmation)
+            }
         }
     }
 
--- a/crates/control/src/groups.rs
+++ b/crates/control/src/groups.rs
@@ -76,21 +76,21 @@
     pub(crate) fn confirm_journal(
         &mut self,
         revision: CatalogRevision,
-        mark: &JournalConfirmation,
+        confirmation: &JournalConfirmation,
     ) -> CatalogOutcome {
-        let Some(former) = self.groups.get(&mark.group) else {
+        let Some(former) = self.groups.get(&confirmation.group) else {
             return CatalogOutcome::Stale;
         };
         let record = &former.item;
         // A former leaseholder must not dispatch: its successor has already read the journal.
-        if record.placement.epoch != mark.epoch {
+        if record.placement.epoch != confirmation.epoch {
             return CatalogOutcome::Stale;
         }
-        if record.journal_epoch == mark.epoch {
+        if record.journal_epoch == confirmation.epoch {
             return CatalogOutcome::Done(former.stamp);
         }
-        self.change_group(revision, &mark.group, |record| {
-            record.journal_epoch = mark.epoch;
+        self.change_group(revision, &confirmation.group, |record| {
+            record.journal_epoch = confirmation.epoch;
         });
         CatalogOutcome::Done(revision)
     }
@@ -116,24 +116,25 @@
     pub(crate) fn record_endpoints(
         &mut self,
         revision: CatalogRevision,
-        notes: &RecordedEndpoints,
+        recorded: &RecordedEndpoints,
     ) -> CatalogOutcome {
-        let Some(former) = self.groups.get(&notes.group) else {
+        let Some(former) = self.groups.get(&recorded.group) else {
             return CatalogOutcome::Stale;
         };
-        if former.item.placement.epoch != notes.epoch {
+        if former.item.placement.epoch != recorded.epoch {
             return CatalogOutcome::Stale;
         }
-        let same_primary = former.item.term == notes.term && former.item.primary == notes.primary;
-        if same_primary && former.item.endpoints == notes.endpoints {
+        let same_primary =
+            former.item.term == recorded.term && former.item.primary == recorded.primary;
+        if same_primary && former.item.endpoints == recorded.endpoints {
             return CatalogOutcome::Done(former.stamp);
         }
-        self.change_group(revision, &notes.group, |record| {
-            record.endpoints = notes.endpoints.clone();
+        self.change_group(revision, &recorded.group, |record| {
+            record.endpoints = recorded.endpoints.clone();
             // The recorded term never falls.
-            if notes.term >= record.term {
-                record.term = notes.term;
-                record.primary = notes.primary.clone();
+            if recorded.term >= record.term {
+                record.term = recorded.term;
+                record.primary = recorded.primary.clone();
             }
         });
         CatalogOutcome::Done(revision)
--- a/crates/daemon/src/edges/callers.rs
+++ b/crates/daemon/src/edges/callers.rs
@@ -70,7 +70,7 @@
         /// Its name within the session.
         name: String,
         /// The access and shape of the statement.
-        shape: PreparedDefinition,
+        definition: PreparedDefinition,
     },
     /// Runs a prepared statement.
     Execute {
--- a/crates/daemon/src/edges/endpoints.rs
+++ b/crates/daemon/src/edges/endpoints.rs
@@ -62,8 +62,8 @@
     Execute {
         /// The caller's id of the statement.
         id: String,
-        /// The prepared shape, which determines the statement's name on the connection.
-        shape: PreparedDefinition,
+        /// The prepared definition, which determines the statement's name on the connection.
+        definition: PreparedDefinition,
         /// The arguments.
         arguments: String,
         /// The position that the endpoint's log must have reached; allowed for reads only.
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -297,10 +297,10 @@
                 .is_none_or(|vm| !in_flight.contains(vm))
         });
         let mut without_keeper = Vec::new();
-        for need in due {
-            match locator.find_keeper(&need.account).cloned() {
-                Some(vm) => self.request_for(requests, vm).accounts.push(need),
-                None => without_keeper.push(need.account),
+        for share_request in due {
+            match locator.find_keeper(&share_request.account).cloned() {
+                Some(vm) => self.request_for(requests, vm).accounts.push(share_request),
+                None => without_keeper.push(share_request.account),
             }
         }
         without_keeper
@@ -325,13 +325,13 @@
             let keeps_ledger = |account: &AccountName| locator.find(account) == Some(*group);
             let held = state.shares.list_held(now, keeps_ledger);
             let request = self.request_for(requests, keeper.vm.clone());
-            for need in held {
+            for share_request in held {
                 if request
                     .accounts
                     .iter()
-                    .all(|one| one.account != need.account)
+                    .all(|one| one.account != share_request.account)
                 {
-                    request.accounts.push(need);
+                    request.accounts.push(share_request);
                 }
             }
             request.declared.push((*group).clone());
@@ -462,16 +462,16 @@
     let locator = LedgerLocator::new(copy);
     let holders = list_holders(copy);
     let started = now.before(Duration::from_millis(request.age_ms));
-    let lent = request.accounts.iter().filter_map(|need| {
-        let limit = copy.accounts().get(&need.account)?.limit?;
+    let lent = request.accounts.iter().filter_map(|share_request| {
+        let limit = copy.accounts().get(&share_request.account)?.limit?;
         let ledger_request = LedgerRequest {
             holder: &request.holder.vm,
             started,
-            home: locator.find(&need.account)?,
+            home: locator.find(&share_request.account)?,
             limit,
             holders: &holders,
         };
-        ledgers.lend(now, ledger_request, need)
+        ledgers.lend(now, ledger_request, share_request)
     });
     let grants = lent.collect();
     let declared = request.declared.iter();
--- a/crates/daemon/src/native/dispatch.rs
+++ b/crates/daemon/src/native/dispatch.rs
@@ -116,7 +116,7 @@
             return;
         };
         let prepared = match &active.context.act {
-            StatementOperation::Prepared(shape) => Some(shape),
+            StatementOperation::Prepared(definition) => Some(definition),
             StatementOperation::Text(_)
             | StatementOperation::Commit
             | StatementOperation::Rollback => None,
@@ -190,7 +190,7 @@
         match active.request.step {
             TransactionStep::Single | TransactionStep::Begin(_) => {
                 let prepared = match &active.context.act {
-                    StatementOperation::Prepared(shape) => Some(shape),
+                    StatementOperation::Prepared(definition) => Some(definition),
                     _ => None,
                 };
                 let account = active.request.account.as_ref();
@@ -327,9 +327,9 @@
     let text = active.request.text.clone();
     match &active.context.act {
         StatementOperation::Text(_) => EndpointCommand::Run { id, text, after },
-        StatementOperation::Prepared(shape) => EndpointCommand::Execute {
+        StatementOperation::Prepared(definition) => EndpointCommand::Execute {
             id,
-            shape: shape.clone(),
+            definition: definition.clone(),
             arguments: text,
             after,
         },
@@ -346,6 +346,6 @@
             name: name.clone(),
             value: value.clone(),
         },
-        ReplayStep::Prepare(shape) => EndpointCommand::Prepare(shape.clone()),
+        ReplayStep::Prepare(definition) => EndpointCommand::Prepare(definition.clone()),
     }
 }
--- a/crates/daemon/src/native/faults.rs
+++ b/crates/daemon/src/native/faults.rs
@@ -101,10 +101,10 @@
         };
         let step = active.request.step;
         if fault.sort == EndpointFaultKind::UnknownStatement
-            && let StatementOperation::Prepared(shape) = active.context.act.clone()
+            && let StatementOperation::Prepared(definition) = active.context.act.clone()
             && let Some(connection) = self.pool.connection_mut(link)
         {
-            connection.image.forget_prepared(&shape);
+            connection.image.forget_prepared(&definition);
         }
         let state = end.map_or(SessionState::Failed, |end| end.state);
         let unpinned = held_transaction(step).is_none();
--- a/crates/daemon/src/sessions/state.rs
+++ b/crates/daemon/src/sessions/state.rs
@@ -113,7 +113,9 @@
             }
             CallerStatement::Execute { name, arguments } => {
                 match self.prepared.get(&name).cloned() {
-                    Some(shape) => self.draft(id, StatementOperation::Prepared(shape), arguments),
+                    Some(definition) => {
+                        self.draft(id, StatementOperation::Prepared(definition), arguments)
+                    }
                     None => self.fail(
                         CallerErrorSort::UnknownStatement,
                         "no prepared statement has this name",
@@ -127,11 +129,11 @@
                 self.values.insert(name, value);
                 self.complete()
             }
-            CallerStatement::Prepare { name, shape } => {
+            CallerStatement::Prepare { name, definition } => {
                 if self.prepared.len() >= MAX_NAMES && !self.prepared.contains_key(&name) {
                     return self.fail(CallerErrorSort::Busy, "session has too many statements");
                 }
-                self.prepared.insert(name, shape);
+                self.prepared.insert(name, definition);
                 self.complete()
             }
             CallerStatement::Deallocate { name } => {
--- a/crates/daemon/tests/native/codec.rs
+++ b/crates/daemon/tests/native/codec.rs
@@ -67,12 +67,14 @@
             }
             EndpointCommand::Run { text, after, .. } => format!("run {} {text}", show(after)),
             EndpointCommand::Execute {
-                shape, arguments, ..
-            } => format!("execute {} {arguments}", shape.shape),
+                definition,
+                arguments,
+                ..
+            } => format!("execute {} {arguments}", definition.shape),
             EndpointCommand::Commit { .. } => "commit".to_owned(),
             EndpointCommand::Rollback => "rollback".to_owned(),
             EndpointCommand::Set { name, value } => format!("set {name} {value}"),
-            EndpointCommand::Prepare(shape) => format!("prepare {}", shape.shape),
+            EndpointCommand::Prepare(definition) => format!("prepare {}", definition.shape),
             EndpointCommand::Reset => "reset".to_owned(),
             EndpointCommand::Describe => "describe".to_owned(),
             EndpointCommand::Pause(term) => format!("pause {term}"),
--- a/crates/daemon/tests/sessions.rs
+++ b/crates/daemon/tests/sessions.rs
@@ -198,12 +198,12 @@
     prepared_names_belong_to_their_session {
         let mut sessions = [CallerSession::default(), CallerSession::default()];
         for (number, session) in sessions.iter_mut().enumerate() {
-            let shape = PreparedDefinition {
+            let definition = PreparedDefinition {
                 access: AccessMode::Read,
                 shape: format!("shape-{number}"),
             };
             let name = "get".to_owned();
-            answer(session, CallerStatement::Prepare { name, shape });
+            answer(session, CallerStatement::Prepare { name, definition });
         }
         for (number, session) in sessions.iter_mut().enumerate() {
             let statement = CallerStatement::Execute {
@@ -211,10 +211,10 @@
                 arguments: "7".to_owned(),
             };
             let run = draft(session, statement);
-            let StatementOperation::Prepared(shape) = run.context.act else {
+            let StatementOperation::Prepared(definition) = run.context.act else {
                 panic!("{:?}", run.context.act);
             };
-            assert_eq!(shape.shape, format!("shape-{number}"));
+            assert_eq!(definition.shape, format!("shape-{number}"));
         }
     }
 }
--- a/crates/policy/src/account_ledger.rs
+++ b/crates/policy/src/account_ledger.rs
@@ -268,7 +268,7 @@
         &mut self,
         now: ClockTime,
         request: LedgerRequest<'_>,
-        need: &AccountShareRequest,
+        share_request: &AccountShareRequest,
     ) -> Option<AccountGrant> {
         let LedgerRequest {
             holder,
@@ -280,7 +280,9 @@
         place.learn_holders(now, &request);
         let known = place.known;
         let age = now.since(place.since);
-        let ledger = self.ledgers.entry((home.clone(), need.account.clone()));
+        let ledger = self
+            .ledgers
+            .entry((home.clone(), share_request.account.clone()));
         let ledger = ledger.or_insert_with(|| AccountLedger {
             lent: BTreeMap::new(),
             operations: match age >= LIMIT_WINDOW {
@@ -302,9 +304,9 @@
                 ledger.operations = (ledger.operations + more).min(limit.burst as f64);
             }
         }
-        let demand = need.demand as f64 / 1_000.0;
+        let demand = share_request.demand as f64 / 1_000.0;
         let free = RateShare::from_fraction(1.0 - ledger.lent_fraction(Some(holder)));
-        let held = need.holds.min(free);
+        let held = share_request.holds.min(free);
         let deserved = ledger.deserved_fraction(holder, demand, limit);
         let deserved = RateShare::from_fraction(deserved);
         let share = match known {
@@ -319,12 +321,12 @@
             demand,
         };
         ledger.lent.insert(holder.clone(), lent);
-        let operations = f64::from(need.wants)
+        let operations = f64::from(share_request.wants)
             .min(ledger.operations.floor())
             .max(0.0);
         ledger.operations -= operations;
         Some(AccountGrant {
-            account: need.account.clone(),
+            account: share_request.account.clone(),
             share,
             operations: operations as u32,
         })
--- a/crates/policy/src/account_shares.rs
+++ b/crates/policy/src/account_shares.rs
@@ -251,7 +251,7 @@
         now: ClockTime,
         may_ask: impl Fn(&AccountName) -> bool,
     ) -> Vec<AccountShareRequest> {
-        let mut needs = Vec::new();
+        let mut share_requests = Vec::new();
         for (account, share) in &mut self.accounts {
             share.refill(now);
             share.decay_demand_without_use(now);
@@ -259,10 +259,10 @@
                 share.request_in_flight = true;
                 share.last_asked = Some(now);
                 share.awaiting_answer = share.waiting;
-                needs.push(share.describe(account));
+                share_requests.push(share.describe(account));
             }
         }
-        needs
+        share_requests
     }
 
     /// Returns the shares of the accounts that `at_home` accepts, to declare them to a new ledger.
--- a/crates/policy/src/replay.rs
+++ b/crates/policy/src/replay.rs
@@ -66,7 +66,7 @@
         }
         let foreign = self.values.keys().any(|name| !values.contains_key(name));
         let full = self.prepared.len() >= MAX_PREPARED_STATEMENTS
-            && prepared.is_some_and(|shape| !self.prepared.contains(shape));
+            && prepared.is_some_and(|definition| !self.prepared.contains(definition));
         let cleared = foreign || full;
         if cleared {
             steps.push(ReplayStep::Reset);
@@ -78,7 +78,8 @@
             name: name.clone(),
             value: value.clone(),
         }));
-        let unprepared = prepared.filter(|shape| cleared || !self.prepared.contains(*shape));
+        let unprepared =
+            prepared.filter(|definition| cleared || !self.prepared.contains(*definition));
         steps.extend(unprepared.cloned().map(ReplayStep::Prepare));
         steps
     }
@@ -87,7 +88,7 @@
     pub fn cost(&self, values: &SessionValues, prepared: Option<&PreparedDefinition>) -> usize {
         // Nearly all sessions set no values, and most statements aren't prepared.
         let plain = self.values.is_empty() && values.is_empty() && !self.in_transaction;
-        if plain && prepared.is_none_or(|shape| self.prepared.contains(shape)) {
+        if plain && prepared.is_none_or(|definition| self.prepared.contains(definition)) {
             return 0;
         }
         self.plan(values, prepared).len()
@@ -101,8 +102,8 @@
             ReplayStep::Set { name, value } => {
                 self.values.insert(name.clone(), value.clone());
             }
-            ReplayStep::Prepare(shape) => {
-                self.prepared.insert(shape.clone());
+            ReplayStep::Prepare(definition) => {
+                self.prepared.insert(definition.clone());
             }
         }
     }
@@ -114,8 +115,8 @@
     }
 
     /// Records that the endpoint doesn't know a statement that was prepared.
-    pub fn forget_prepared(&mut self, shape: &PreparedDefinition) {
-        self.prepared.remove(shape);
+    pub fn forget_prepared(&mut self, definition: &PreparedDefinition) {
+        self.prepared.remove(definition);
     }
 
     /// Sets whether a transaction without an owner is open.
--- a/crates/policy/tests/account_limits.rs
+++ b/crates/policy/tests/account_limits.rs
@@ -52,7 +52,7 @@
     returns: ClockTime,
     keeper: usize,
     declares: bool,
-    needs: Vec<AccountShareRequest>,
+    share_requests: Vec<AccountShareRequest>,
     grants: Option<Vec<AccountGrant>>,
     received: bool,
 }
@@ -199,12 +199,12 @@
         if vm.call.is_some() {
             return;
         }
-        let mut needs = vm.shares.due_share_requests(now, |_| true);
+        let mut share_requests = vm.shares.due_share_requests(now, |_| true);
         let declares = vm.declared_to != vm.keeper;
-        if declares && needs.is_empty() {
-            needs = vm.shares.list_held(now, |_| true);
+        if declares && share_requests.is_empty() {
+            share_requests = vm.shares.list_held(now, |_| true);
         }
-        if needs.is_empty() && !declares {
+        if share_requests.is_empty() && !declares {
             return;
         }
         vm.declared_to = vm.keeper;
@@ -215,7 +215,7 @@
             returns: now + latency * 2,
             keeper: vm.keeper.0,
             declares,
-            needs,
+            share_requests,
             grants: None,
             received: false,
         });
@@ -235,7 +235,7 @@
             let holder = vm_name(number);
             let started = self.vms[number].started;
             let ledgers = &mut self.vms[keeper].ledgers;
-            let lent = call.needs.iter().filter_map(|need| {
+            let lent = call.share_requests.iter().filter_map(|share_request| {
                 let request = LedgerRequest {
                     holder: &holder,
                     started,
@@ -243,7 +243,7 @@
                     limit: self.limit,
                     holders: &holders,
                 };
-                ledgers.lend(now, request, need)
+                ledgers.lend(now, request, share_request)
             });
             call.grants = Some(lent.collect());
             if call.declares {
@@ -261,12 +261,14 @@
             vm.declared_to = (usize::MAX, 0);
         }
         let grants = call.grants.filter(|_| answered).unwrap_or_default();
-        for need in &call.needs {
+        for share_request in &call.share_requests {
             let shares = &mut self.vms[number].shares;
-            let grant = grants.iter().find(|grant| grant.account == need.account);
+            let grant = grants
+                .iter()
+                .find(|grant| grant.account == share_request.account);
             let end = match grant {
                 Some(grant) => shares.take_grant(now, call.sent, grant),
-                None => shares.note_unanswered(now, &need.account),
+                None => shares.note_unanswered(now, &share_request.account),
             };
             self.settle(number, end);
         }
--- a/crates/policy/tests/replay.rs
+++ b/crates/policy/tests/replay.rs
@@ -21,7 +21,7 @@
         .collect()
 }
 
-fn shape(text: &str) -> PreparedDefinition {
+fn definition(text: &str) -> PreparedDefinition {
     PreparedDefinition {
         access: AccessMode::Read,
         shape: text.to_owned(),
@@ -41,8 +41,8 @@
     for (name, value) in pairs {
         image.note_done(&set(name, value));
     }
-    for shape in shapes {
-        image.note_done(&ReplayStep::Prepare(shape.clone()));
+    for definition in shapes {
+        image.note_done(&ReplayStep::Prepare(definition.clone()));
     }
     image
 }
@@ -67,18 +67,18 @@
     /// Clearing the values also drops the prepared statements. The one that is about to run must be
     /// prepared again, or the endpoint wouldn't know it.
     clearing_drops_prepared_statements {
-        let image = used(&[("zone", "a")], &[shape("q1")]);
-        let steps = image.plan(&values(&[("lang", "en")]), Some(&shape("q1")));
-        let expected = [ReplayStep::Reset, set("lang", "en"), ReplayStep::Prepare(shape("q1"))];
+        let image = used(&[("zone", "a")], &[definition("q1")]);
+        let steps = image.plan(&values(&[("lang", "en")]), Some(&definition("q1")));
+        let expected = [ReplayStep::Reset, set("lang", "en"), ReplayStep::Prepare(definition("q1"))];
         assert_eq!(steps.as_slice(), expected);
     }
 
     /// Two sessions prepare the same statement under different names. The second one finds it
     /// prepared.
     prepared_statements_are_shared {
-        let image = used(&[], &[shape("q1")]);
-        assert_eq!(image.cost(&values(&[]), Some(&shape("q1"))), 0);
-        assert_eq!(image.cost(&values(&[]), Some(&shape("q2"))), 1);
+        let image = used(&[], &[definition("q1")]);
+        assert_eq!(image.cost(&values(&[]), Some(&definition("q1"))), 0);
+        assert_eq!(image.cost(&values(&[]), Some(&definition("q2"))), 1);
     }
 
     /// A transaction without an owner was left open. The next statement would run inside it.
@@ -94,22 +94,22 @@
     prepared_statements_are_bounded {
         let mut image = ConnectionImage::default();
         for number in 0..10_000 {
-            let next = shape(&format!("q{number}"));
+            let next = definition(&format!("q{number}"));
             for step in image.plan(&values(&[]), Some(&next)) {
                 image.note_done(&step);
             }
         }
         let kept = (0..10_000).filter(|number| {
-            image.cost(&values(&[]), Some(&shape(&format!("q{number}")))) == 0
+            image.cost(&values(&[]), Some(&definition(&format!("q{number}")))) == 0
         });
         assert!(kept.count() <= 256);
     }
 
     /// The endpoint reports that it doesn't know a statement. It is prepared again before it runs.
     forgotten_statement_is_prepared_again {
-        let mut image = used(&[], &[shape("q1")]);
-        image.forget_prepared(&shape("q1"));
-        let steps = image.plan(&values(&[]), Some(&shape("q1")));
-        assert_eq!(steps.as_slice(), [ReplayStep::Prepare(shape("q1"))]);
+        let mut image = used(&[], &[definition("q1")]);
+        image.forget_prepared(&definition("q1"));
+        let steps = image.plan(&values(&[]), Some(&definition("q1")));
+        assert_eq!(steps.as_slice(), [ReplayStep::Prepare(definition("q1"))]);
     }
 }
--- a/crates/types/src/session.rs
+++ b/crates/types/src/session.rs
@@ -61,7 +61,7 @@
     pub fn access(&self) -> AccessMode {
         match self {
             Self::Text(access) => *access,
-            Self::Prepared(shape) => shape.access,
+            Self::Prepared(definition) => definition.access,
             Self::Commit | Self::Rollback => AccessMode::Write,
         }
     }
