--- a/crates/policy/src/gateway_limit.rs
+++ b/crates/policy/src/gateway_limit.rs
@@ -46,7 +46,7 @@
 ///
 /// ```
 /// use ragwort_policy::CustomerTerms;
-/// use ragwort_policy::FlightLimiter;
+/// use ragwort_policy::InFlightLimiter;
 /// use ragwort_types::CustomerName;
 /// use ragwort_types::GroupName;
 /// use ragwort_types::UrgencyClass;
@@ -58,7 +58,7 @@
 ///     connection_limit: 1,
 /// };
 /// let group = GroupName::from("cases");
-/// let mut limiter = FlightLimiter::default();
+/// let mut limiter = InFlightLimiter::default();
 /// assert!(limiter.admit(&group, &terms, UrgencyClass::Ordinary).is_ok());
 /// assert_eq!(limiter.in_flight(&group), 1);
 /// limiter.release(&group, &terms.customer);
