--- a/crates/policy/examples/load_table.rs
+++ b/crates/policy/examples/load_table.rs
@@ -85,10 +85,10 @@
     }
 }
 
-/// The number of consecutive seeds of the table of modules.
+/// The number of consecutive seeds of the table of modules, from the given one on.
 const SEEDS: u64 = 3;
 
-/// A module, a load pattern that needs it, and the callers that it serves.
+/// A module, a load pattern that needs it, and the callers whose answers show its effect.
 struct ModuleRow {
     module: &'static str,
     pattern: PatternName,
--- a/crates/policy/src/account_connections.rs
+++ b/crates/policy/src/account_connections.rs
@@ -62,10 +62,10 @@
 /// # Examples
 ///
 /// ```
-/// use ragwort_policy::MissChoice;
-/// use ragwort_policy::choose_on_miss;
+/// use ragwort_policy::PoolMissAction;
+/// use ragwort_policy::choose_pool_miss_action;
 ///
-/// assert_eq!(choose_on_miss(&[], 60, 60), Some(MissChoice::Open));
+/// assert_eq!(choose_pool_miss_action(&[], 60, 60), Some(PoolMissAction::Open));
 /// ```
 pub fn choose_pool_miss_action(
     held: &[HeldConnection<'_>],
--- a/crates/policy/src/account_ledger.rs
+++ b/crates/policy/src/account_ledger.rs
@@ -155,7 +155,8 @@
     }
 }
 
-/// The circumstances of a VM's request to a ledger.
+/// The context of a VM's request to a ledger: the VM, the account's home group and limit, and the
+/// VMs that may hold shares.
 #[derive(Clone, Copy, Debug)]
 pub struct LedgerRequest<'a> {
     /// The requesting VM.
@@ -311,8 +312,8 @@
             Some(_) => deserved.min(free),
             None => deserved.min(held),
         };
-        // The VM may use its old share until it receives this answer, so the larger of the two is
-        // counted.
+        // Until the VM asks again, it may not have received this answer and still use its old
+        // share, so the larger of the two is counted.
         let lent = LentShare {
             share: share.max(held),
             until: now + SHARE_LIFETIME,
--- a/crates/policy/src/account_shares.rs
+++ b/crates/policy/src/account_shares.rs
@@ -48,7 +48,8 @@
 /// The window in which the allowance for operations without a ledger is granted once.
 const OFFLINE_ALLOWANCE_WINDOW: Duration = Duration::from_secs(10);
 
-/// The minimum and maximum time after which a refused caller is told to retry, in milliseconds.
+/// The minimum and maximum time after which a refused caller is told to retry, in milliseconds and
+/// without the spread that is added.
 const RETRY_AFTER_RANGE_MILLIS: (u64, u64) = (100, 2_000);
 
 /// The result of a request to begin an operation.
@@ -60,7 +61,8 @@
     Waits,
 }
 
-/// What an answer, or its absence, means for the waiting operations in their order of arrival.
+/// The outcome of a ledger's answer, or of its absence, for the waiting operations in their order
+/// of arrival.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WaitersOutcome {
     /// The number of operations that are admitted.
@@ -164,7 +166,8 @@
     }
 
     fn describe(&self, account: &AccountName) -> AccountShareRequest {
-        // Asks for more than one operation, so that another one soon after needn't ask again.
+        // Also asks for the operations that are expected within the bucket time, so that they
+        // needn't ask again.
         let soon = self.demand * SHARE_BUCKET_TIME.as_secs_f64();
         let wants = match self.waiting {
             0 => 0,
@@ -206,8 +209,10 @@
         self.holders = holders;
     }
 
-    /// Admits an operation, or returns that the ledger must be asked. An operation that waits is
-    /// counted until [`take_grant`](Self::take_grant) or [`note_unanswered`](Self::note_unanswered).
+    /// Admits an operation, or returns that the ledger must be asked.
+    ///
+    /// An operation that waits is counted until [`take_grant`](Self::take_grant) or
+    /// [`note_unanswered`](Self::note_unanswered) settles it.
     pub fn take(
         &mut self,
         now: ClockTime,
@@ -360,8 +365,8 @@
         }
     }
 
-    /// Admits waiting operations as far as tokens allow. Of the others, those that waited for the
-    /// answer are refused.
+    /// Admits waiting operations as far as tokens and lent operations allow. Of the others, those
+    /// that waited for the answer are refused.
     fn settle_waiting(&mut self, now: ClockTime) -> WaitersOutcome {
         let mut end = WaitersOutcome::default();
         while self.waiting > end.admitted && self.take(now) {
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -138,7 +138,8 @@
 /// The target for a promotion is a median under one second.
 pub(crate) const EXPECTED_PROMOTION_TIME: Duration = Duration::from_secs(1);
 
-/// A group without a primary is never expected to have one sooner than this.
+/// A group without a primary is never expected to have one sooner than this, even if its promotion
+/// has outlasted the expected duration.
 pub(crate) const MIN_REMAINING_PROMOTION: Duration = Duration::from_millis(250);
 
 /// Returns how many waiting requests of one urgency a customer may have.
--- a/crates/policy/src/caller_pacing.rs
+++ b/crates/policy/src/caller_pacing.rs
@@ -14,7 +14,7 @@
 //! session that sends no more than its part is never delayed, and one that sends ten times as much
 //! waits behind the rest, or is refused when its turn would come too late. Eight requests at once are
 //! free, so that a page which asks for eight things is no flood. The delay ends at two seconds, so
-//! that a flood that has ended is soon forgotten. Writes with the same key run one at a time:
+//! that a session or key recovers soon after its flood. Writes with the same key run one at a time:
 //! the endpoint would run them one at a time anyway.
 
 use crate::ClockTime;
--- a/crates/policy/src/connections.rs
+++ b/crates/policy/src/connections.rs
@@ -38,8 +38,7 @@
 /// Maximum number of connections that are opened at the same time to an endpoint with few slots.
 const OPENING_LIMIT: u32 = 2;
 
-/// Connections that are being opened may take the endpoint's slots divided by this, if that is
-/// more.
+/// The same maximum for an endpoint with many slots is the number of its slots divided by this.
 const OPENING_DIVISOR: u32 = 4;
 
 /// Number of connections for statements outside of transactions that are kept open to an endpoint
@@ -66,8 +65,8 @@
 /// The pause in opening connections after one failed to open.
 pub(crate) const FAILED_OPEN_PAUSE: Duration = Duration::from_millis(100);
 
-/// The number of connections that a VM may hold and holds to the endpoints of all groups that it
-/// leads.
+/// A VM's limit on connections to the endpoints of all groups that it leads, and their present
+/// number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionAllowance {
     /// The maximum number of connections.
@@ -140,7 +139,7 @@
     }
 }
 
-/// The maximum of a count over a sliding time window.
+/// The maximum of a count over the present time window and the one before it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RecentPeak {
     current: u32,
@@ -162,7 +161,7 @@
         self.current = self.current.max(count);
     }
 
-    /// Returns the maximum of the counts recorded in the window.
+    /// Returns the maximum of the counts recorded in both windows.
     pub(crate) fn peak(&self) -> u32 {
         self.current.max(self.previous)
     }
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -22,7 +22,7 @@
     pub(crate) ticket: RequestTicket,
     /// The time of the dispatch.
     pub(crate) started: ClockTime,
-    /// How long it was expected to hold the slot.
+    /// The time for which it was expected to hold the slot.
     pub(crate) expected: Duration,
     /// The number of requests that must end before it gets a slot, if it was sent ahead.
     pub(crate) predecessors: u32,
--- a/crates/policy/src/forecast.rs
+++ b/crates/policy/src/forecast.rs
@@ -39,13 +39,13 @@
     pub(crate) unpinned: u32,
     /// The expected end of each run on one of these connections.
     uses: SmallVec<[ClockTime; 4]>,
-    /// How many more transactions may take a connection now.
+    /// The number of further transactions that may take a connection now.
     pub(crate) pins_left: u32,
     /// When further connections are expected to be open.
     pub(crate) connected_at: ClockTime,
     /// When a transaction is expected to be able to take a connection, if none can now.
     pub(crate) pin_at: ClockTime,
-    /// How many slots may be used for work that other instances could serve.
+    /// The number of slots that may be used for work that other instances could serve.
     pub(crate) usable: u32,
     /// Whether a trial of this endpoint may start.
     pub(crate) trial: bool,
--- a/crates/policy/src/gateway_limit.rs
+++ b/crates/policy/src/gateway_limit.rs
@@ -46,7 +46,7 @@
 ///
 /// ```
 /// use ragwort_policy::CustomerTerms;
-/// use ragwort_policy::FlightLimiter;
+/// use ragwort_policy::InFlightLimiter;
 /// use ragwort_types::CustomerName;
 /// use ragwort_types::GroupName;
 /// use ragwort_types::UrgencyClass;
@@ -58,7 +58,7 @@
 ///     connection_limit: 1,
 /// };
 /// let group = GroupName::from("cases");
-/// let mut limiter = FlightLimiter::default();
+/// let mut limiter = InFlightLimiter::default();
 /// assert!(limiter.admit(&group, &terms, UrgencyClass::Ordinary).is_ok());
 /// assert_eq!(limiter.in_flight(&group), 1);
 /// limiter.release(&group, &terms.customer);
@@ -66,13 +66,13 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct InFlightLimiter {
-    groups: BTreeMap<GroupName, GroupFlight>,
+    groups: BTreeMap<GroupName, GroupInFlight>,
     refused: u64,
 }
 
 /// The requests in flight to one group.
 #[derive(Clone, Debug, Default)]
-struct GroupFlight {
+struct GroupInFlight {
     total: u32,
     customers: BTreeMap<CustomerName, u32>,
 }
@@ -98,7 +98,7 @@
         };
         let flight = self.groups.entry(group.clone()).or_default();
         let present = flight.customers.get(&terms.customer).copied().unwrap_or(0);
-        if flight.total >= group_limit || present >= flight_limit(terms, urgent) {
+        if flight.total >= group_limit || present >= in_flight_limit(terms, urgent) {
             self.refused += 1;
             return Err(Refusal {
                 cause: RefusalCause::Limit,
@@ -135,7 +135,7 @@
 }
 
 /// Returns the maximum number of requests that a customer may have in flight to one group.
-fn flight_limit(terms: &CustomerTerms, urgent: bool) -> u32 {
+fn in_flight_limit(terms: &CustomerTerms, urgent: bool) -> u32 {
     let ordinary = terms
         .queue_limit
         .saturating_add(terms.connection_limit)
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -23,7 +23,7 @@
 //!
 //! An endpoint that was cut off gets single requests as trials. A trial costs at most one late
 //! answer. The first one comes after 100 ms, and the interval doubles with each failure, up to
-//! [`MAX_TRIAL_INTERVAL`].
+//! [`MAX_TRIAL_INTERVAL`], so a lasting fault costs one late answer in each such interval.
 
 use crate::ClockTime;
 use crate::RequestTicket;
--- a/crates/policy/src/link_watch.rs
+++ b/crates/policy/src/link_watch.rs
@@ -9,12 +9,12 @@
 //!
 //! # Approach
 //!
-//! A link with unanswered calls is probed when nothing at all was received for [`LINK_PROBE_AFTER`], and
-//! given up when the probe isn't answered within [`LINK_PROBE_TIMEOUT`]. Statements take 3 to 110 ms, one
-//! way between failure domains 1.5 ms, so a link with unanswered calls is rarely quiet for that
-//! long. Giving up a working link leaves the outcome of the writes on it unknown; that is why it is
-//! probed first. The sum of both times stays under half of the lease after which the successor
-//! takes over.
+//! A link with unanswered calls is probed when nothing at all was received for
+//! [`LINK_PROBE_AFTER`], and given up when the probe isn't answered within [`LINK_PROBE_TIMEOUT`].
+//! Statements take 3 to 110 ms and the one-way delay between failure domains is 1.5 ms, so a link
+//! with unanswered calls is rarely quiet for that long. Giving up a working link leaves the outcome
+//! of the writes on it unknown; that is why it is probed first. The sum of both times stays under
+//! half of the lease after which the successor takes over.
 
 use crate::ClockTime;
 use std::time::Duration;
--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -94,7 +94,7 @@
     pub(crate) instance: usize,
     /// The time of the start.
     pub(crate) at: ClockTime,
-    /// How long the request is expected to hold its slot.
+    /// The time for which the request is expected to hold its slot.
     pub(crate) expected: Duration,
     /// Whether the request is a trial of an endpoint that was cut off.
     pub(crate) trial: bool,
--- a/crates/policy/src/replay.rs
+++ b/crates/policy/src/replay.rs
@@ -83,7 +83,7 @@
         steps
     }
 
-    /// Returns the number of steps of a plan without allocating it in the usual cases.
+    /// Returns the number of steps of a [`plan`](Self::plan), which in the usual cases isn't made.
     pub fn cost(&self, values: &SessionValues, prepared: Option<&PreparedDefinition>) -> usize {
         // Nearly all sessions set no values, and most statements aren't prepared.
         let plain = self.values.is_empty() && values.is_empty() && !self.in_transaction;
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -81,8 +81,8 @@
     /// [`GroupScheduler::unpin`](crate::GroupScheduler::unpin) is called with this request's
     /// ticket.
     Opens,
-    /// The request runs on the connection that is held by the transaction that this ticket's
-    /// request opened.
+    /// The request belongs to the transaction that the request with this ticket opened, and runs on
+    /// its connection.
     Within(RequestTicket),
 }
 
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -15,8 +15,8 @@
 //! would be refused that the primary has the time to serve. The maximum number of dispatches holds
 //! for them too.
 //!
-//! A request is retried only if it didn't run, or may run again, outside of transactions, and only
-//! if it can still meet its deadline.
+//! A statement within an open transaction is never retried. Any other request is retried only if it
+//! didn't run or may run again, and only if it can still meet its deadline.
 
 use crate::FinishOutcome;
 use ragwort_types::RepeatRule;
--- a/crates/policy/src/routing.rs
+++ b/crates/policy/src/routing.rs
@@ -91,8 +91,8 @@
     let replicas = records
         .iter()
         .filter(|record| record.state.role == EndpointRole::Replica);
-    let mut standing = replicas.filter(|record| is_in_rotation(record) || !health);
-    standing.any(|record| match judge_fitness(record, profile, now) {
+    let mut in_rotation = replicas.filter(|record| is_in_rotation(record) || !health);
+    in_rotation.any(|record| match judge_fitness(record, profile, now) {
         ServingFitness::Ready => true,
         ServingFitness::ReadyAt(moment) => moment <= now + MAX_CATCH_UP_WAIT,
         ServingFitness::Unfit => false,
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -61,8 +61,8 @@
     /// The connections that the VM may hold over all its groups.
     pub(crate) allowance: ConnectionAllowance,
     pub(crate) pin_hold: Duration,
-    /// The moving average of all run times, from which the time until a refused caller may retry is
-    /// derived.
+    /// The moving average of the run times of all kinds, from which the time until a refused caller
+    /// may retry is derived.
     pub(crate) mean_run: Duration,
     pub(crate) pending: Vec<SchedulerDecision>,
 }
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -41,8 +41,8 @@
     /// Unknown, or the endpoint mishandles it: no more statements are sent than there are slots.
     #[default]
     Forbidden,
-    /// The endpoint queues it for the next free slot: a statement is sent ahead, by the network
-    /// delay, of the time at which a slot is expected to become free.
+    /// The endpoint queues it for the next free slot: a statement is sent one network delay before
+    /// the time at which a slot is expected to become free.
     Waits,
 }
 
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -50,7 +50,8 @@
     pub permitted_reads: u64,
     /// Requests sent to a cut-off endpoint as trials of its recovery.
     pub trials: u64,
-    /// Requests that were queued again after they failed.
+    /// Requests that were queued again after a dispatch, unless their connection was found dead
+    /// before they were sent.
     pub retried: u64,
     /// Final refusals by cause.
     pub refused: BTreeMap<RefusalCause, u64>,
--- a/crates/policy/src/steps.rs
+++ b/crates/policy/src/steps.rs
@@ -32,14 +32,17 @@
 /// Refusals are delayed by no more than about the time of one message.
 pub(crate) const REVIEW_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The interval between two complete plans, for each waiting request.
+/// A queue of more than some hundred requests is planned completely at this interval for each of
+/// its requests.
 ///
 /// A plan takes about 0.3 µs for each waiting request, so planning takes at most a tenth of a core.
 const REVIEW_INTERVAL_PER_REQUEST: Duration = Duration::from_micros(3);
 
-/// The maximum number of consecutive plans in one poll. Each plan that leads to another one
-/// dispatches, demotes or refuses at least one request, and a group of three endpoints with two
-/// slots each has few requests to dispatch at once.
+/// The maximum number of rounds of planning after which a poll stops although the last round still
+/// changed something.
+///
+/// Each round that leads to another one dispatches, demotes or refuses at least one request, and a
+/// group of three endpoints with two slots each has few requests to dispatch at once.
 const MAX_PLAN_PASSES: usize = 16;
 
 impl GroupScheduler {
@@ -130,8 +133,9 @@
         }
     }
 
-    /// Refuses requests whose condition can't be met in time, and moves reads between the lanes of
-    /// the replicas and of the primary as replicas catch up or fall behind.
+    /// Refuses requests whose deadline has passed, whose transaction was lost, or for which a
+    /// primary won't be there in time. Moves reads between the lanes of the replicas and of the
+    /// primary as replicas catch up or fall behind.
     pub(crate) fn review_queue(&mut self, now: ClockTime, decisions: &mut Vec<SchedulerDecision>) {
         let mut unservable = Vec::new();
         let mut moved = Vec::new();
@@ -162,8 +166,9 @@
     /// a request.
     ///
     /// A request that can no longer meet its target is planned again behind the others, so that its
-    /// caller learns at once if it can't be served there either. A refusal leaves fewer reads to
-    /// the replicas, so a read may be left to them again and displace another request.
+    /// caller learns at once if it can't be served there either. After a refusal fewer reads wait
+    /// for the replicas, so another read may no longer be allowed to use the primary. It then waits
+    /// for a replica as well, and can make a third request miss its deadline.
     pub(crate) fn execute_plans(&mut self, now: ClockTime, decisions: &mut Vec<SchedulerDecision>) {
         for _ in 0..MAX_PLAN_PASSES {
             if !self.execute_plan(now, decisions) {
--- a/crates/policy/tests/connections.rs
+++ b/crates/policy/tests/connections.rs
@@ -41,8 +41,8 @@
 load_cases! {
     /// An endpoint can run ninety statements at once, and callers send a few a second. A VM that
     /// led some groups held a connection for each slot, thousands in all. Each took memory and was
-    /// validated every other second, until the VM had no descriptor left for its own calls, lost
-    /// its lease with all its groups, or was killed for its memory.
+    /// validated every other second, until the VM had no descriptor left for links to the other
+    /// VMs, lost its lease with all its groups, or was killed for its memory.
     few_statements_hold_few_connections => quiet_case();
     /// Sixty callers ask at the same moment where two did before. Their connections must be opened
     /// within some steps; two at a time, the last one would wait for 360 ms.
--- a/crates/policy/tests/invariants.rs
+++ b/crates/policy/tests/invariants.rs
@@ -30,7 +30,7 @@
     ($($name:ident($property:ident, $seed:expr, $size:expr, $runs:expr);)*) => {$(
         /// Random requests, ends, losses, reports and changes of endpoints. No order of them may
         /// lead to a slot or connection used twice, a read of missing or old data, a run after the
-        /// deadline, two answers for one request, or a refusal that comes later than possible.
+        /// deadline, two answers for one request, or a refusal that comes later than it could.
         #[test]
         fn $name() {
             QuickCheck::new()
@@ -108,7 +108,7 @@
     );
 
     /// A transaction takes the only open connection. The plan still counted on it, so a request
-    /// that had to wait for another connection was refused later than possible.
+    /// that had to wait for another connection was refused later than it could have been.
     transaction_takes_the_connection(keeps_all_invariants:
         Arrive(1, 33155), Connect(0), Arrive(241, 49699), Finish(181, 62), Arrive(1, 41956),
         Finish(243, 58), Arrive(161, 19671), Arrive(242, 63686), Finish(175, 106), Remove(0),
@@ -119,8 +119,9 @@
         Begin(), Finish(206, 161), Pass(10521), Finish(115, 20), Finish(232, 0),
     );
 
-    /// A new request was refused after the plan had been made with it. That plan let another
-    /// request miss its deadline, whose caller learned so one poll too late.
+    /// A new request was refused after the plan had been made with it. In the plan without it
+    /// another request could no longer meet its deadline, and its caller learned so one poll too
+    /// late.
     refused_newcomer_is_not_planned(keeps_all_invariants:
         FailConnect(2), Connect(0), Connect(0), Arrive(203, 260), Arrive(115, 13753),
         Arrive(221, 46236), Arrive(210, 57715), Pass(9965), Pass(9977), Pass(3656),
--- a/crates/policy/tests/isolated_sessions.rs
+++ b/crates/policy/tests/isolated_sessions.rs
@@ -26,7 +26,7 @@
 /// Simulates a partition in which sessions are closed once their gateway has been isolated for
 /// `limit`, and returns the fraction of requests that were served. The balancer uses all gateways,
 /// because most of them aren't ready.
-fn replay(limit: Duration) -> f64 {
+fn simulate(limit: Duration) -> f64 {
     let mut random = StdRng::seed_from_u64(3);
     let mut assignments: Vec<Option<usize>> = (0..SESSIONS)
         .map(|_| Some(random.random_range(0..GATEWAYS)))
@@ -69,8 +69,8 @@
 /// over. Closed at once, each reconnects until it finds a connected gateway, and stays there.
 #[test]
 fn closed_sessions_find_connected_gateways() {
-    let soon = replay(Duration::from_millis(100));
-    let late = replay(Duration::from_millis(2_200));
+    let soon = simulate(Duration::from_millis(100));
+    let late = simulate(Duration::from_millis(2_200));
     assert!(soon > late + 0.1, "{soon} against {late}");
     assert!(soon > 0.75, "{soon}");
 }
