--- a/crates/control/src/accounts.rs
+++ b/crates/control/src/accounts.rs
@@ -22,7 +22,7 @@
 use std::collections::BTreeSet;
 use std::collections::HashMap;
 
-/// Largest number of removed accounts that are kept for deltas; a member that missed more gets the
+/// Maximum number of removed accounts that are kept for deltas; a member that missed more gets the
 /// whole catalog.
 const MAX_REMOVED_ACCOUNTS: usize = 1_024;
 
@@ -33,7 +33,7 @@
 /// Never panics: a secret of any length is accepted.
 pub fn digest_key(secret: DigestSecret, key: &AccountKey) -> KeyDigest {
     let mac = Hmac::<Sha256>::new_from_slice(&secret.0);
-    let mut mac = mac.expect("a seal of any length is taken");
+    let mut mac = mac.expect("HMAC accepts a key of any length");
     mac.update(key.as_secret().as_bytes());
     let whole = mac.finalize().into_bytes();
     let mut digest = KeyDigest::default();
--- a/crates/control/src/answers.rs
+++ b/crates/control/src/answers.rs
@@ -24,7 +24,7 @@
 /// Size of a record in bytes, in memory and before its text encoding.
 const RECORD_BYTES: usize = 24;
 
-/// Largest number of records outside the sorted part: two days of changes.
+/// Maximum number of records that wait to be merged into the sorted part: two days of changes.
 const MAX_RECENT_RECORDS: usize = 4_096;
 
 /// Records per chunk of the text form, which avoids a second copy of the whole table.
--- a/crates/control/src/chart.rs
+++ b/crates/control/src/chart.rs
@@ -185,14 +185,16 @@
         for event in V::Event::ALL {
             let ignored = self.ignore.iter().filter(|name| *name == event).count();
             match (self.on.get(event), ignored) {
-                (None, 0) => gaps.push(format!("{state:?} says nothing of {event:?}")),
+                (None, 0) => gaps.push(format!("{state:?} neither handles nor ignores {event:?}")),
                 (None, 1) => {}
                 (Some(branches), 0) => {
                     if branches.last().is_none_or(|branch| branch.guard.is_some()) {
-                        gaps.push(format!("{state:?} has no last branch for {event:?}"));
+                        gaps.push(format!(
+                            "{state:?} has no unconditional last branch for {event:?}"
+                        ));
                     }
                 }
-                _ => gaps.push(format!("{state:?} names {event:?} twice")),
+                _ => gaps.push(format!("{state:?} lists {event:?} more than once")),
             }
         }
     }
--- a/crates/control/src/detector.rs
+++ b/crates/control/src/detector.rs
@@ -46,10 +46,10 @@
 /// Silence after which a primary that accepts connections but answers no request is suspected.
 pub const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Longest wait for the standbys' answers.
+/// Maximum wait for the standbys' answers.
 pub const STANDBY_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Longest gap between two ticks; a longer one means that this process was itself suspended.
+/// Maximum gap between two ticks; a longer one means that this process was itself suspended.
 pub const MAX_TICK_GAP: Duration = Duration::from_millis(250);
 
 /// The connection that a probe used.
--- a/crates/control/src/digest.rs
+++ b/crates/control/src/digest.rs
@@ -9,7 +9,7 @@
     bytes.fold(FNV_OFFSET_BASIS, mix)
 }
 
-/// Returns the digest of a text, mixed so that similar texts differ in all bits.
+/// Returns the digest of a text, mixed so that a difference between texts affects all bits.
 pub fn digest_text(text: &str) -> u64 {
     mix_bits(digest_bytes(text.bytes()))
 }
--- a/crates/control/src/documents.rs
+++ b/crates/control/src/documents.rs
@@ -17,7 +17,7 @@
 use ragwort_types::GroupTerms;
 use std::collections::BTreeSet;
 
-/// Largest number of retired contracts that are kept for deltas; a member that missed more gets a
+/// Maximum number of retired contracts that are kept for deltas; a member that missed more gets a
 /// complete snapshot. A member that missed a thousand of them was disconnected for hours.
 const MAX_RETIRED_CONTRACTS: usize = 1_024;
 
--- a/crates/control/src/followers.rs
+++ b/crates/control/src/followers.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Shortest time between two orders to one instance.
+/// Minimum time between two orders to one instance.
 pub(crate) const MIN_FOLLOW_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Time after which the order is repeated to an instance that confirmed it, because the instance
--- a/crates/control/src/journal.rs
+++ b/crates/control/src/journal.rs
@@ -35,10 +35,10 @@
 use smallvec::SmallVec;
 use std::collections::VecDeque;
 
-/// Largest number of entries in one append.
+/// Maximum number of entries in one append.
 pub const MAX_APPEND_ENTRIES: usize = 512;
 
-/// Largest number of entries that are kept for a standby that lags; one that falls further behind
+/// Maximum number of entries that are kept for a standby that lags; one that falls further behind
 /// is sent the whole journal. A group's 300 keys a second fill it in half a minute, by when control
 /// has replaced a dead standby.
 pub const MAX_BACKLOG_ENTRIES: usize = 8_192;
@@ -184,7 +184,7 @@
         let Some(made) = key.to_unix_millis() else {
             return KeyAdmission::Malformed;
         };
-        // A known key is answered even past the window, as long as it is known.
+        // A key that is still in the table is answered even past the window.
         match self.keys.get(customer, key) {
             Some(KeyState::Running(_)) => return KeyAdmission::Running,
             Some(KeyState::MayHaveRun) => return KeyAdmission::MayHaveRun,
--- a/crates/control/src/keys.rs
+++ b/crates/control/src/keys.rs
@@ -19,13 +19,13 @@
 /// It equals the longest deadline that a contract may set, so a request can't outlive its key.
 pub const KEY_WINDOW_MS: u64 = 600_000;
 
-/// Largest tolerated difference between the wall clocks of callers and VMs, in milliseconds.
+/// Maximum tolerated difference between the wall clocks of callers and VMs, in milliseconds.
 ///
 /// Clocks kept by the platform differ by milliseconds; two seconds also cover a leap second and a
 /// VM that was just resumed. A request from a caller whose clock is further ahead is refused.
 pub const CLOCK_TOLERANCE_MS: u64 = 2_000;
 
-/// Size of the largest answer that is kept for resends, in bytes of text.
+/// Maximum size of an answer that is kept for resends, in bytes of text.
 ///
 /// Requests with keys usually return a few values. A resend of a request with a larger answer is
 /// told that it may have run, because part of an answer must not pass for the whole.
@@ -118,8 +118,8 @@
         match entry {
             JournalEntry::KeyDispatched(record) => {
                 self.set(&record.customer, record.key, KeyState::MayHaveRun);
-                // The leaseholder refuses keys from the future, so a dispatched key bounds the
-                // present time.
+                // The leaseholder refuses keys from the future, so the present time is at least the
+                // time of a dispatched key less the tolerance.
                 let made = record.key.to_unix_millis().unwrap_or(0);
                 self.forget_expired(made.saturating_sub(CLOCK_TOLERANCE_MS));
                 true
--- a/crates/control/src/lease.rs
+++ b/crates/control/src/lease.rs
@@ -136,7 +136,7 @@
 /// first entry of its own term.
 #[derive(Clone, Debug)]
 pub struct LeaseLedger {
-    /// The longest lease.
+    /// The maximum length of a lease.
     lease: Duration,
     /// Leases granted by the former leader end at most one lease after this time.
     elected_at: ClockTime,
@@ -173,7 +173,7 @@
         if self.latest_incarnation(&id.vm, catalog) > id.incarnation {
             return LeaseDecision::Superseded;
         }
-        if !self.has_no_predecessor(&heartbeat.member, catalog) {
+        if !self.is_current_process(&heartbeat.member, catalog) {
             self.note_heartbeat(now, heartbeat, ProcessRole::Successor);
             return LeaseDecision::NotYet;
         }
@@ -316,8 +316,9 @@
         known.max(current).max(next).unwrap_or_default()
     }
 
-    /// Returns whether no earlier process of the VM must be removed before this one gets a lease.
-    fn has_no_predecessor(&self, member: &MemberRecord, catalog: &CatalogState) -> bool {
+    /// Returns whether this is the VM's current process: no earlier one must be removed from the
+    /// catalog before it gets a lease.
+    fn is_current_process(&self, member: &MemberRecord, catalog: &CatalogState) -> bool {
         match catalog.member(&member.id.vm) {
             Some(known) => known.id == member.id || member.can_replace_immediately(known),
             None => true,
--- a/crates/control/src/members.rs
+++ b/crates/control/src/members.rs
@@ -11,7 +11,7 @@
 use ragwort_types::MemberRecord;
 use ragwort_types::VmName;
 
-/// Largest number of departed members that are kept for deltas.
+/// Maximum number of departed members that are kept for deltas.
 ///
 /// A member that missed more departures gets a complete snapshot. With 630 VMs, that takes more
 /// than one departure of each.
--- a/crates/control/src/native_roles.rs
+++ b/crates/control/src/native_roles.rs
@@ -1,4 +1,4 @@
-//! Roles of a group's instances where the databases themselves elect the primary.
+//! Roles of a group's instances where the databases manage roles and terms themselves.
 //!
 //! The leaseholder learns roles from three sources that arrive in any order: announcements, replies
 //! to status requests, and refused writes. A former primary behind a network partition still
--- a/crates/control/src/pace.rs
+++ b/crates/control/src/pace.rs
@@ -45,7 +45,7 @@
     /// Records the time from the sending of a heartbeat until its grant was processed, and returns
     /// whether the length to request has grown.
     ///
-    /// A time above the upper limit is ignored, because no lease could cover it.
+    /// A time at or above the upper limit is ignored, because no lease could cover it.
     pub fn note_heartbeat_time(&mut self, took: Duration) -> bool {
         if took >= self.max_lease {
             return false;
--- a/crates/control/src/placement.rs
+++ b/crates/control/src/placement.rs
@@ -120,7 +120,7 @@
     plans
 }
 
-/// Returns the largest number of groups that one of `vms` VMs should lead out of `groups`.
+/// Returns the maximum number of groups that one of `vms` VMs should lead out of `groups`.
 pub fn load_cap(groups: usize, vms: usize) -> usize {
     (groups * LOAD_CAP_PERCENT).div_ceil(vms.max(1) * 100)
 }
--- a/crates/control/src/positions.rs
+++ b/crates/control/src/positions.rs
@@ -17,7 +17,7 @@
 /// Interval within which acknowledged positions are joined to one mark.
 const MARK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Capacity. At one mark every 5 ms it covers 20 s, beyond every maximum age in use; a read with a
+/// Maximum number of marks. At one mark every 5 ms they cover 20 s, beyond every maximum age in use; a read with a
 /// higher one must cover the oldest mark.
 const MAX_MARKS: usize = 4_096;
 
--- a/crates/control/src/promotion.rs
+++ b/crates/control/src/promotion.rs
@@ -44,7 +44,7 @@
 /// compared with the second that a promotion may take.
 pub const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Longest delay between retries. It bounds the wait of a group whose majority becomes reachable
+/// Maximum delay between retries. It bounds the wait of a group whose majority becomes reachable
 /// again.
 pub const MAX_RETRY_DELAY: Duration = Duration::from_millis(400);
 
--- a/crates/control/src/recovery.rs
+++ b/crates/control/src/recovery.rs
@@ -28,7 +28,7 @@
 impl RecoveredJournal {
     /// Returns whether every dispatched key is known.
     ///
-    /// If not, resends with keys made before the takeover are told that they may have run, and the
+    /// If not, requests with keys made before the takeover are answered as possibly run, and the
     /// leaseholder must set the sessions' floor before replicas serve reads.
     pub fn is_complete(&self) -> bool {
         self.complete
--- a/crates/control/src/replacement.rs
+++ b/crates/control/src/replacement.rs
@@ -19,7 +19,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Longest wait for the instances' reports. A running instance replies within a few milliseconds
+/// Maximum wait for the instances' reports. A running instance replies within a few milliseconds
 /// unless all its slots are taken by long requests.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(150);
 
@@ -96,8 +96,8 @@
 
     /// Begins to replace an instance, unless a replacement is in progress.
     ///
-    /// If no candidate has received all acknowledged writes, a better one is awaited for
-    /// `catch_up_time` at most: the writes that the candidate lacks are lost.
+    /// If no instance has received all acknowledged writes, the replacement waits up to
+    /// `catch_up_time` for one that has. The writes that the candidate then lacks are lost.
     pub fn begin(
         &mut self,
         now: ClockTime,
--- a/crates/control/src/replica_estimate.rs
+++ b/crates/control/src/replica_estimate.rs
@@ -8,7 +8,7 @@
 //! Every answer contains the replica's log position, including a refusal. After a refusal the lag
 //! is therefore known, and the replica is assumed to hold no more than the reported position during
 //! a backoff that doubles while the replica makes no progress. Further refusals of reads that were
-//! sent before the first refusal arrived are ignored. If a replica hasn't answered for
+//! sent before the first refusal arrived show the same lag and are ignored. If a replica hasn't answered for
 //! [`DECAY_DELAY`], its assumed lag halves every [`LAG_HALF_LIFE`], so that a read is tried within
 //! a few tenths of a second after it has caught up. Doubling the lag at each refusal instead would
 //! keep reads away for seconds after that.
@@ -34,11 +34,11 @@
 /// Upper limit of the lag; a replica that receives nothing reaches it.
 const MAX_LAG: Duration = Duration::from_secs(30);
 
-/// Time after a refusal during which a replica is assumed to hold only the position that it
-/// reported.
+/// First backoff: the time after a refusal during which a replica is assumed to hold only the
+/// position that it reported.
 const MIN_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Longest backoff, for a replica that makes no progress.
+/// Maximum backoff, for a replica that makes no progress.
 const MAX_BACKOFF: Duration = Duration::from_millis(160);
 
 /// Divisor of the difference by which one answer with a shorter lag lowers the assumed lag.
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct MissingPosition {
     position: LogPosition,
-    /// When the replica is no longer assumed to lack it.
+    /// The time until which the replica is assumed to lack it.
     until: ClockTime,
     /// Whether the refusal contained the replica's position; if so, nothing beyond that position is
     /// assumed.
--- a/crates/control/src/transfer.rs
+++ b/crates/control/src/transfer.rs
@@ -30,7 +30,7 @@
 /// Size at which a piece is full, in estimated bytes before compression.
 pub const PIECE_BYTES: usize = 96 * 1_024;
 
-/// Size of the largest delta that is sent with a heartbeat, in estimated bytes before compression.
+/// Maximum size of a delta that is sent with a heartbeat, in estimated bytes before compression.
 /// Compressed, it passes the narrowest link many times within a lease.
 const MAX_DELTA_BYTES: usize = 12 * 1_024;
 
@@ -117,8 +117,8 @@
 
     /// Returns whether a member lacks an item that must be sent at once.
     ///
-    /// In the routing scope, departures and members that serve no groups can wait for the member's
-    /// next heartbeat.
+    /// In the routing scope, departures, members that serve no groups, and the terms of groups can
+    /// wait for the member's next heartbeat.
     pub fn needs_prompt_delivery(&self, from: CatalogRevision, scope: CatalogScope) -> bool {
         let start = CatalogCursor {
             revision: from,
@@ -256,7 +256,7 @@
         }
     }
 
-    /// Returns the position of the transfer.
+    /// Returns the cursor that the transfer has reached.
     pub fn cursor(&self) -> &CatalogCursor {
         &self.cursor
     }
--- a/crates/control/tests/state/charts.rs
+++ b/crates/control/tests/state/charts.rs
@@ -50,8 +50,8 @@
         );
         let gaps = chart.find_gaps();
         for expected in [
-            "Idle has no last branch for Answered",
-            "Idle says nothing of Lent",
+            "Idle has no unconditional last branch for Answered",
+            "Idle neither handles nor ignores Lent",
             "Pinned is missing",
             "Busy is unreachable",
             "guard InTransaction is unused",
--- a/crates/control/tests/state/replacement.rs
+++ b/crates/control/tests/state/replacement.rs
@@ -37,8 +37,8 @@
 /// of 200 ms.
 fn started_replacement() -> PrimaryReplacement {
     let mut replacement = PrimaryReplacement::default();
-    let patience = Duration::from_millis(200);
-    let actions = replacement.begin(at(0), Some(&name(1)), position(50), patience);
+    let catch_up_time = Duration::from_millis(200);
+    let actions = replacement.begin(at(0), Some(&name(1)), position(50), catch_up_time);
     assert_eq!(actions.as_slice(), [ReplacementAction::AskInstances]);
     replacement.note_requested(at(0), [name(2), name(3)]);
     replacement
