--- a/crates/ctl/src/apply.rs
+++ b/crates/ctl/src/apply.rs
@@ -31,13 +31,13 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-/// The number of rounds in which each daemon is tried once. Together with the pauses between rounds
-/// they take several times as long as an election.
+/// The maximum number of rounds, in each of which every daemon is tried once. With the pauses between
+/// them, they last several times as long as an election, during which the control VMs have no leader.
 const MAX_ROUNDS: usize = 20;
 const ROUND_PAUSE: Duration = Duration::from_millis(250);
 
 /// The interval at which `--wait` polls whether the change is in force.
-const FORCE_POLL_INTERVAL: Duration = Duration::from_millis(100);
+const IN_FORCE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Applies a contract from a file and, on request, waits until it is in force.
 pub async fn apply_contract(addresses: &AddressList, command: ApplyCommand) -> CommandOutcome {
@@ -251,16 +251,16 @@
 ) -> Option<InForceStatus> {
     let end = Instant::now() + wait_limit;
     loop {
-        let status = fetch_force_status(addresses, acceptance).await;
+        let status = fetch_in_force_status(addresses, acceptance).await;
         let in_force = status.is_some_and(|status| status.in_force);
         if in_force || Instant::now() >= end {
             return status;
         }
-        sleep(FORCE_POLL_INTERVAL).await;
+        sleep(IN_FORCE_POLL_INTERVAL).await;
     }
 }
 
-async fn fetch_force_status(
+async fn fetch_in_force_status(
     addresses: &AddressList,
     acceptance: ContractAcceptance,
 ) -> Option<InForceStatus> {
--- a/crates/ctl/src/options.rs
+++ b/crates/ctl/src/options.rs
@@ -8,7 +8,7 @@
 use std::str::FromStr;
 use uuid::Uuid;
 
-/// Operate ragwortgate: change contracts, look at the system, drain a VM.
+/// Operate ragwortgate: change contracts, show the status, drain a VM.
 #[derive(Debug, FromArgs)]
 #[argh(
     note = "Exit codes: 0 done, 1 refused, 2 wrong command line, 3 outcome unknown (resend with the printed change id)."
@@ -72,12 +72,12 @@
     Drain(DrainCommand),
 }
 
-/// form the first voter set from the control VMs of the asked daemon's settings
+/// form the first voter set from the control VMs in the called daemon's settings
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "form")]
 pub struct FormCommand {}
 
-/// show what a daemon knows of the system
+/// show a daemon's status and its view of the system
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "status")]
 pub struct StatusCommand {}
--- a/crates/ctl/src/remote.rs
+++ b/crates/ctl/src/remote.rs
@@ -23,7 +23,8 @@
 pub enum CallFault {
     /// No connection could be opened, so the call was not sent.
     NotSent(String),
-    /// The daemon rejected the method or its parameters and did nothing.
+    /// The daemon refused the method or its parameters, or a read-only call failed; nothing was
+    /// changed.
     Refused(String),
     /// The call was sent and its outcome is unknown.
     InDoubt(String),
--- a/crates/ctl/tests/commands.rs
+++ b/crates/ctl/tests/commands.rs
@@ -82,7 +82,7 @@
     document_replies: VecDeque<DocumentReply>,
     reading: Option<DocumentReadReply>,
     present: Option<VersionedContract>,
-    force_status_calls: u32,
+    in_force_status_calls: u32,
     calls_before_in_force: u32,
     form: Option<FormReply>,
     drained: bool,
@@ -136,8 +136,8 @@
 
     async fn in_force_status(&self, acceptance: ContractAcceptance) -> RpcResult<InForceStatus> {
         let mut script = self.0.lock().unwrap();
-        script.force_status_calls += 1;
-        let in_force = script.force_status_calls > script.calls_before_in_force;
+        script.in_force_status_calls += 1;
+        let in_force = script.in_force_status_calls > script.calls_before_in_force;
         Ok(InForceStatus {
             acceptance,
             in_force,
@@ -285,7 +285,7 @@
     .await;
     assert_eq!(run.code, 0, "{}", run.err);
     assert!(run.out.contains("in force: on every member"));
-    assert_eq!(daemon.0.lock().unwrap().force_status_calls, 4);
+    assert_eq!(daemon.0.lock().unwrap().in_force_status_calls, 4);
 }
 
 /// A member does not confirm the change in time. The operator must not mistake an accepted change for
@@ -413,7 +413,7 @@
 refused! {
     unknown_contract: CatalogOutcome::ContractUnknown => "has no contract of version 0";
     reused_change_id: CatalogOutcome::ChangeIdReused => "already used for a different change";
-    contract_rejected_by_control:
+    contract_refused_by_control:
         CatalogOutcome::ContractFaulty(vec!["groups: unknown".to_owned()]) => "groups: unknown";
 }
 
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -63,7 +63,7 @@
     println!("Stopping every process.");
     set.stop().await?;
     outcome?;
-    println!("Every caller was answered, every process ended with 0.");
+    println!("All callers were answered, all processes exited with status 0.");
     Ok(())
 }
 
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -171,7 +171,8 @@
         .map(ToString::to_string)
         .collect();
     if unread > 0 {
-        let fault = format!("{unread} lists could not be read at the end of the run");
+        let fault =
+            format!("{unread} lists could not be read at the end, so the check is incomplete");
         report.violations.push(fault);
     }
     report
--- a/crates/lab/src/load_plan.rs
+++ b/crates/lab/src/load_plan.rs
@@ -30,8 +30,8 @@
     Status,
     /// A read of a list that accepts no stale data.
     Fresh,
-    /// A read of the session's own cell, which must return at least the session's last
-    /// acknowledged write.
+    /// A read of the session's own cell. It accepts stale data up to the contract's age, but must
+    /// reflect the session's last acknowledged write.
     Own,
     /// A long-running read.
     Report,
--- a/crates/lab/src/oracle.rs
+++ b/crates/lab/src/oracle.rs
@@ -2,9 +2,10 @@
 //! returned and with the final content of the database.
 //!
 //! Callers write to *cells* by `put`, with consecutively numbered values from a single writer, and to
-//! *lists* by `append`, with unique tokens. From these the check detects lost, duplicated and wrongly
-//! refused writes, values under a wrong key, violations of read-your-writes, and reads that are staler
-//! than allowed. Times are in microseconds since the start of the load, and are given by the caller.
+//! *lists* by `append`, with unique tokens. From these the check detects lost and duplicated writes,
+//! writes that took effect although they were answered "not run", values under a wrong key, violations
+//! of read-your-writes, and reads that are staler than allowed. Times are in microseconds since the start
+//! of the load, and are given by the caller.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -138,7 +139,7 @@
                 write!(formatter, "answered not run, but it ran: {token}")
             }
             Self::ForeignValue { key, value } => {
-                write!(formatter, "value of another request in {key}: {value}")
+                write!(formatter, "unexpected value in {key}: {value}")
             }
             Self::OwnWriteUnseen {
                 key,
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -1,7 +1,8 @@
 //! Child processes, which can be frozen, thawed, terminated and killed.
 //!
 //! A [`ChildProcess`] owns its process: dropping it kills the process, frozen or not, and reaps it, so
-//! that a failed test leaves no processes behind. Signals go to the process id of the child only.
+//! that a failed test leaves no processes behind. Signals go to the process id of the child only. Only
+//! this crate starts processes; the daemon must not.
 
 pub use crate::ports::pick_address;
 use std::fs;
--- a/crates/lab/src/scale.rs
+++ b/crates/lab/src/scale.rs
@@ -268,8 +268,8 @@
     }
 }
 
-/// Kills [`KILLED_VMS`] plain members, each time the one that is leaseholder of the most groups, and
-/// measures the time until it is removed from the membership and from all placements.
+/// Kills up to [`KILLED_VMS`] plain members, each time the one that is leaseholder of the most groups,
+/// and measures the time until it is no longer a member or the leaseholder of any group.
 async fn measure_removals(set: &mut ScaleSet) -> Result<TimeList, SetFault> {
     let mut times = TimeList::default();
     for _ in 0..KILLED_VMS {
--- a/crates/lab/src/set_calls.rs
+++ b/crates/lab/src/set_calls.rs
@@ -54,7 +54,7 @@
             Self::NotReady(vms) => write!(formatter, "not ready: {}", vms.join(", ")),
             Self::NotWhole(seen) => write!(formatter, "group not whole: {seen}"),
             Self::Refused(reason) => write!(formatter, "refused: {reason}"),
-            Self::BadEnd(processes) => write!(formatter, "ended badly: {}", processes.join(", ")),
+            Self::BadEnd(processes) => write!(formatter, "no clean exit: {}", processes.join(", ")),
         }
     }
 }
--- a/crates/lab/src/statement.rs
+++ b/crates/lab/src/statement.rs
@@ -61,7 +61,11 @@
 
 impl fmt::Display for UnknownCommand {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "unknown command or words missing: {}", self.word)
+        write!(
+            formatter,
+            "unknown command or invalid arguments: {}",
+            self.word
+        )
     }
 }
 
--- a/crates/lab/tests/instance.rs
+++ b/crates/lab/tests/instance.rs
@@ -178,7 +178,7 @@
     }
 }
 
-fn group_keeps_its_promises(steps: Vec<GroupStep>) -> bool {
+fn keeps_acknowledged_entries_and_converges(steps: Vec<GroupStep>) -> bool {
     let mut group = TestGroup::new();
     for step in steps {
         group.apply_step(step);
@@ -196,5 +196,5 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(120, SEED))
         .tests(1_000)
-        .quickcheck(group_keeps_its_promises as fn(Vec<GroupStep>) -> bool);
+        .quickcheck(keeps_acknowledged_entries_and_converges as fn(Vec<GroupStep>) -> bool);
 }
--- a/crates/lab/tests/oracle.rs
+++ b/crates/lab/tests/oracle.rs
@@ -114,7 +114,7 @@
     value_of_another_list: [append("a", 1, Acknowledged(10)), read("a", 5, 0, "other=a=1")]
         => [foreign("list", "other=a=1")];
     /// A read returns a value that was never written.
-    value_that_nobody_wrote: [append("a", 1, MayHaveRun), end("list=a=2")]
+    value_that_was_never_written: [append("a", 1, MayHaveRun), end("list=a=2")]
         => [foreign("list", "list=a=2")];
     /// A session's read doesn't return its own acknowledged append.
     own_append_unseen: [append("a", 1, Acknowledged(10)), read("a", 20, 1_000, "")]
--- a/crates/lab/tests/process.rs
+++ b/crates/lab/tests/process.rs
@@ -107,7 +107,7 @@
 /// A relay delays bytes, silences the connections open at one time while new ones work, and resumes the
 /// open ones after it has hung.
 #[tokio::test]
-async fn relay_forgets_and_cuts() {
+async fn relay_silences_connections_and_hangs() {
     let endpoint = EndpointProcess::start("relay").await;
     let relay = FaultRelay::start(endpoint.data, Duration::from_millis(3))
         .await
--- a/crates/types/src/catalog.rs
+++ b/crates/types/src/catalog.rs
@@ -65,7 +65,8 @@
 pub struct MemberId {
     /// The VM.
     pub vm: VmName,
-    /// The daemon's start time in microseconds since the Unix epoch, which identifies the process.
+    /// A number that increases with each start of the daemon: the start time in microseconds since
+    /// the Unix epoch, or one above the last known incarnation if the clock was set back.
     pub incarnation: VmIncarnation,
 }
 
--- a/crates/types/src/contract.rs
+++ b/crates/types/src/contract.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The longest deadline that a contract may set, in milliseconds.
+/// The maximum deadline that a contract may set, in milliseconds.
 ///
 /// Request keys are remembered for ten minutes; a request with a longer deadline could outlive its
 /// key and run twice.
--- a/crates/types/src/messages.rs
+++ b/crates/types/src/messages.rs
@@ -81,6 +81,7 @@
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
     pub proof: Option<KeyDigest>,
     /// The session state that the statement depends on, where sessions share endpoint connections.
+    /// `None` for callers of the PostgreSQL protocol, whose endpoints are reached through a driver.
     #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
     pub context: Option<Box<SessionContext>>,
 }
@@ -259,7 +260,7 @@
 /// A dispatched request key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyRecord {
-    /// The customer; keys are unique per customer.
+    /// The customer; equal keys of different customers are independent.
     pub customer: CustomerName,
     /// The key.
     pub key: RequestKey,
--- a/crates/types/src/names.rs
+++ b/crates/types/src/names.rs
@@ -51,7 +51,7 @@
 }
 
 text_name! {
-    /// The name of a customer, the organisation that a contract is made with.
+    /// The name of a customer, whose contract sets its limits.
     CustomerName
 }
 text_name! {
@@ -124,7 +124,8 @@
     CatalogRevision
 }
 counter! {
-    /// The incarnation of a VM's process or of its durable state; a later one has a higher number.
+    /// The incarnation of a VM's daemon process, or of a control VM's durable state, which gets a new
+    /// one when its disk was empty at start. A later incarnation has a higher number.
     VmIncarnation
 }
 
