--- a/crates/daemon/src/callers/conversation.rs
+++ b/crates/daemon/src/callers/conversation.rs
@@ -43,8 +43,8 @@
 use tokio::time::Instant;
 use tokio::time::sleep_until;
 
-/// The longest wait of a draining gateway for the next statement of an idle session. The session is
-/// closed right after its answer.
+/// The maximum time that a draining gateway waits for the next statement of an idle session. The
+/// session is closed right after its answer.
 ///
 /// The next statement may already be under way when an idle session is closed. Some drivers drop an
 /// error that arrives while no statement is pending and report only a closed connection for the
--- a/crates/daemon/src/callers/edge.rs
+++ b/crates/daemon/src/callers/edge.rs
@@ -1,8 +1,8 @@
 //! Accepts callers' connections, joins their tasks, and routes cancel requests to sessions.
 //!
-//! PostgreSQL sends a cancel request on a connection of its own, with the process id and secret key of
-//! the session. Its connection's task passes it to the edge, which checks the secret and signals the
-//! session's task.
+//! PostgreSQL's drivers send a cancel request on a connection of its own, with the process id and
+//! secret key of the session. The task of that connection passes it to the edge, which checks the
+//! secret and signals the session's task.
 
 use crate::callers::SessionRefusal;
 use crate::callers::StatementService;
@@ -37,7 +37,8 @@
 /// would occupy a core and fill the log.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// The most refused connections that are sent an error at one time; further ones are closed without.
+/// The maximum number of refused connections that are being sent an error at one time; further ones
+/// are closed without one.
 const MAX_REFUSALS: usize = 64;
 
 /// The capacity of the queue of cancel requests to the edge.
@@ -46,9 +47,9 @@
 /// Limits of the caller edge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// The most connections open at one time.
+    /// The maximum number of open connections.
     pub connections: usize,
-    /// The longest message, in bytes.
+    /// The maximum length of a message, in bytes.
     pub message_bytes: usize,
     /// The time limit of a start-up, from the accepted connection to the complete start-up message.
     pub startup: Duration,
--- a/crates/daemon/src/callers/extended.rs
+++ b/crates/daemon/src/callers/extended.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The most prepared statements and portals, together, that a session may hold.
+/// The maximum number of prepared statements and portals, together, that a session may hold.
 const MAX_STORED_ITEMS: usize = 1_000;
 
 /// The memory limit of a session's prepared statements and portals, in multiples of the longest
--- a/crates/daemon/src/callers/mod.rs
+++ b/crates/daemon/src/callers/mod.rs
@@ -70,7 +70,7 @@
     },
     /// The gateway is shutting down.
     Draining,
-    /// The gateway has just started and has not received its catalog yet.
+    /// The gateway has just started and has not received its catalog yet, which takes only moments.
     Starting {
         /// The time to wait before a retry, in milliseconds.
         come_back_after_ms: u64,
--- a/crates/daemon/src/callers/startup.rs
+++ b/crates/daemon/src/callers/startup.rs
@@ -16,7 +16,8 @@
 use ragwort_types::SessionName;
 use std::collections::BTreeMap;
 
-/// The longest session name in bytes. Names are stored in the group's journal on three VMs.
+/// The maximum length of a session name in bytes. Names are stored in the group's journal on three
+/// VMs.
 const MAX_SESSION_NAME_BYTES: usize = 128;
 
 /// The minor version of the supported protocol, 3.0.
--- a/crates/daemon/src/callers/wire.rs
+++ b/crates/daemon/src/callers/wire.rs
@@ -23,16 +23,16 @@
 use tokio::time::timeout;
 use tokio::time::timeout_at;
 
-/// The longest start-up message in bytes, the same as PostgreSQL's limit.
+/// The maximum length of a start-up message in bytes, the same as PostgreSQL's limit.
 const MAX_STARTUP_BYTES: usize = 10_000;
 
 /// The size of a message's length field, which counts itself.
 const LENGTH_BYTES: usize = 4;
 
-/// The most bytes in one write, and the number of buffered bytes that triggers a write.
+/// The maximum number of bytes in one write, and the number of buffered bytes that triggers a write.
 const WRITE_CHUNK_BYTES: usize = 65_536;
 
-/// The longest wait of a closing connection for the caller to close its side.
+/// The maximum time that a closing connection waits for the caller to close its side.
 ///
 /// Closing a socket with unread bytes resets the connection. The reset may overtake the error sent
 /// before, and the caller would see a broken connection without the reason.
--- a/crates/daemon/src/disk.rs
+++ b/crates/daemon/src/disk.rs
@@ -28,8 +28,8 @@
 /// Failed writes for each line in the daemon's log: one line every five seconds.
 const FAILURES_PER_LINE: u64 = 50;
 
-/// File mode of the log, which holds the operators' documents as they wrote them, including their
-/// callers' keys.
+/// File mode of the log: only its owner may read and write it, because it holds the operators'
+/// documents as they wrote them, including their callers' keys.
 const LOG_FILE_MODE: u32 = 0o600;
 
 const LOG_NAME: &str = "agreement.log";
--- a/crates/daemon/src/edges/services.rs
+++ b/crates/daemon/src/edges/services.rs
@@ -38,10 +38,10 @@
     metrics: DaemonMetrics,
 }
 
-/// One in this many refused announcements is logged, so that a sender of thousands can't fill the log.
+/// Refused announcements for each line in the log; a sender of thousands must not fill the log.
 const REFUSALS_PER_LOG_LINE: u64 = 100;
 
-/// The most characters of a fault that are logged, as it may quote the received text.
+/// The maximum number of characters of a fault that are logged, as it may quote the received text.
 const MAX_FAULT_CHARS: usize = 120;
 
 impl NodeServices {
--- a/crates/daemon/src/formation.rs
+++ b/crates/daemon/src/formation.rs
@@ -1,4 +1,4 @@
-//! Forms the first voter set, and finds other control VMs for one without a leader.
+//! Forms the first voter set, and finds the other control VMs for a control VM without a leader.
 //!
 //! At the very first start, and only then, the VM that is first among the seeds asks all seeds for
 //! their identities and, once all have answered, forms the first voter set of them. Every other
--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -84,7 +84,7 @@
     view: watch::Receiver<MemberView>,
     lease: Duration,
     outages: Mutex<HashMap<GroupName, ClockTime>>,
-    /// Attempts to reach other gateways while this one has no lease.
+    /// The outcomes of attempts to reach other gateways while this one has no lease.
     isolation: Mutex<IsolationWatch>,
     /// The backoff for groups whose leaseholder other gateways couldn't reach either.
     relay_backoff: Mutex<RelayBackoff>,
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -34,12 +34,12 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
-/// The most calls in flight on one link. A gateway multiplexes all its callers over one link to a
-/// leaseholder, so the library's default of 256 would refuse ordinary load.
+/// The maximum number of calls in flight on one link. A gateway multiplexes all its callers over one
+/// link to a leaseholder, so the library's default of 256 would refuse ordinary load.
 const LINK_REQUESTS: usize = 16_384;
 
-/// The largest message on a link, in bytes. A catalog snapshot of 710 groups and thousands of
-/// contracts takes a few megabytes.
+/// The maximum size of a message on a link, in bytes. A catalog snapshot of 710 groups and thousands
+/// of contracts takes a few megabytes.
 const LINK_MESSAGE_BYTES: u32 = 64 * 1024 * 1024;
 
 /// How long a call may take before its link is checked, and the time between further checks.
@@ -54,8 +54,8 @@
 /// gives up after a second and asks another VM.
 const ANNOUNCE_LIMIT: Duration = Duration::from_millis(700);
 
-/// Interval at which an idle link is pinged, long because pings only have to close dead links
-/// eventually. With 629 links on a VM it makes 63 pings a second.
+/// Interval at which an idle link is pinged. It is long, because these pings serve only to close
+/// dead links eventually. With 629 links on a VM it makes 63 pings a second.
 const IDLE_PING: Duration = Duration::from_secs(10);
 
 /// The reason why a call over a link failed.
--- a/crates/daemon/src/server.rs
+++ b/crates/daemon/src/server.rs
@@ -88,9 +88,9 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// The most connections that this VM serves: other VMs, endpoints' agents, operators. At 630 VMs
-/// each of them may hold one link for statements and one for control, and an agent per instance one
-/// more.
+/// The maximum number of connections that this VM serves: other VMs, endpoints' agents, operators.
+/// At 630 VMs each of them may hold one link for statements and one for control, and an agent per
+/// instance one more.
 const SERVER_CONNECTIONS: u32 = 8_192;
 
 /// JSON-RPC error code of a call that this daemon can't answer now.
--- a/crates/daemon/src/sessions/session.rs
+++ b/crates/daemon/src/sessions/session.rs
@@ -43,8 +43,8 @@
 /// The buffer space reserved for one read, in bytes. Statements take a few hundred bytes.
 const READ_BYTES: usize = 1_024;
 
-/// The longest wait of a new session for a starting gateway. First leases arrive after 0.5 s; callers
-/// give up an opening after 2 s, or earlier by deadlines of their own.
+/// The maximum time that a new session waits for a starting gateway. First leases arrive after 0.5 s;
+/// callers give up an opening after 2 s, or earlier by deadlines of their own.
 const START_WAIT_LIMIT: Duration = Duration::from_millis(800);
 
 /// The interval at which a waiting session retries its admission.
@@ -196,7 +196,7 @@
             return;
         }
         let end = self.serve_statements(admitted, &mut session).await;
-        // The open transaction of a caller that has gone would hold its connection until the idle limit.
+        // The open transaction of a disconnected caller would hold its connection until the idle limit.
         if let Some(draft) = session.take_abandoned(true) {
             self.execute(admitted, &draft).await;
         }
--- a/crates/daemon/src/sessions/state.rs
+++ b/crates/daemon/src/sessions/state.rs
@@ -31,8 +31,8 @@
 use ragwort_types::TransactionStep;
 use std::collections::HashMap;
 
-/// The most values that a session may set, and the most statements that it may prepare. Values are
-/// sent along with every statement.
+/// The maximum number of values that a session may set, and of statements that it may prepare.
+/// Values are sent along with every statement; prepared statements are kept on endpoint connections.
 const MAX_NAMES: usize = 1_024;
 
 /// How a statement is executed.
@@ -192,8 +192,8 @@
         }
     }
 
-    /// Removes a transaction that still holds a connection from the session and returns its rollback, if
-    /// the caller has `disconnected`.
+    /// If the caller has `disconnected` while a transaction may still hold a connection, forgets that
+    /// transaction and returns its rollback.
     pub fn take_abandoned(&mut self, disconnected: bool) -> Option<StatementDraft> {
         let left = match self.progress {
             TransactionProgress::Open(id) | TransactionProgress::Failed(Some(id))
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -18,10 +18,10 @@
 
 pub use crate::settings_tree::SettingFault;
 
-/// The most control VMs that a system may have.
+/// The maximum number of control VMs in a system.
 pub const MAX_CONTROL_VMS: usize = 7;
 
-/// The fewest heartbeats in a lease.
+/// The minimum number of heartbeats in a lease.
 ///
 /// With fewer, one lost packet followed by a late one would end the lease of a healthy VM, and its
 /// groups would move without need.
@@ -93,7 +93,7 @@
     /// Whether the whole system starts for the first time. Only then may a voter set be formed
     /// without an operator.
     pub first_start: bool,
-    /// The fewest voters that a voter configuration may have.
+    /// The minimum number of voters in a voter configuration.
     pub least_voters: usize,
 }
 
@@ -128,7 +128,7 @@
     pub lease_ms: u64,
     /// The length of a tick of the control VMs' logical clock.
     pub tick_ms: u64,
-    /// The shortest silence of a control leader before another stands for election, in ticks.
+    /// The minimum silence of a control leader before another VM stands for election, in ticks.
     pub election_ticks: u64,
     /// The interval of the control leader's heartbeats to its followers, in ticks.
     pub agreement_heartbeat_ticks: u64,
@@ -172,9 +172,9 @@
 /// Limits that protect the daemon itself; the limits of callers are in their contracts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitSettings {
-    /// The most open connections of callers.
+    /// The maximum number of open connections of callers.
     pub connections: u64,
-    /// The longest message of a caller, in bytes.
+    /// The maximum length of a caller's message, in bytes.
     pub message_bytes: u64,
     /// The time limit for a caller's start-up, in milliseconds.
     pub startup_ms: u64,
@@ -238,7 +238,7 @@
             .is_some_and(|formation| formation.first_start)
     }
 
-    /// Returns the fewest voters that a voter configuration may have.
+    /// Returns the minimum number of voters in a voter configuration.
     pub fn least_voters(&self) -> usize {
         self.formation
             .as_ref()
--- a/crates/daemon/src/statements/links.rs
+++ b/crates/daemon/src/statements/links.rs
@@ -51,8 +51,8 @@
 /// a second; until then each attempt costs two packets.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(50);
 
-/// The time after the last call for which attempts to connect to an unreachable VM go on. By then the
-/// statements go to another VM.
+/// How long after the last call the link keeps trying to connect to an unreachable VM. By the end of
+/// this time statements go to another VM.
 const RECONNECT_WINDOW: Duration = Duration::from_secs(5);
 
 /// The result of a call.
--- a/crates/daemon/src/statements/mod.rs
+++ b/crates/daemon/src/statements/mod.rs
@@ -20,5 +20,5 @@
 /// together under load.
 const READ_BYTES: usize = 16 * 1024;
 
-/// The most frames taken from a queue before the next write.
+/// The maximum number of frames taken from a queue before the next write.
 const MAX_FRAMES_PER_BATCH: usize = 64;
--- a/crates/daemon/src/statements/server.rs
+++ b/crates/daemon/src/statements/server.rs
@@ -33,7 +33,7 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
-/// The most statements of one connection in flight at one time. Above it no further frames are read.
+/// The maximum number of statements in flight on one connection. Above it no further frames are read.
 const MAX_IN_FLIGHT: usize = 16_384;
 
 /// The age of unacknowledged bytes at which a connection is closed, as its gateway is unreachable.
@@ -42,8 +42,8 @@
 /// The pause after a failed accept, which is usually due to a lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// The longest wait of a stopping VM for gateways to close their links. It covers the round trip and the
-/// calls still to be answered; only a gateway that is gone uses it up.
+/// The maximum time that a stopping VM waits for gateways to close their links. It covers the round
+/// trip and the calls still to be answered; only an unreachable gateway uses it up.
 const STOP_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Runs the statements that gateways send.
--- a/crates/daemon/tests/components/connection.rs
+++ b/crates/daemon/tests/components/connection.rs
@@ -62,8 +62,8 @@
     /// A statement is queued on a connection whose ping is about to fail. None of it is sent, so it may
     /// run elsewhere, and its caller isn't left in doubt.
     statement_behind_a_lost_ping_was_not_sent => behind_ping_case();
-    /// A driver prepares a statement that the database rejects. The caller gets the database's own error,
-    /// nothing runs, and the connection stays usable.
+    /// A driver prepares a statement that the database refuses as invalid. The caller gets the
+    /// database's own error, nothing runs, and the connection stays usable.
     failed_description_runs_nothing => describe_case();
     /// A description gets no answer. It occupies its connection no longer than its limit, and the
     /// connection isn't used again.
--- a/crates/daemon/tests/components/gateway.rs
+++ b/crates/daemon/tests/components/gateway.rs
@@ -71,7 +71,7 @@
     lost_reply_of_a_keyed_write_is_sent_again =>
         resend_case(RequestBuilder::new(GRANT, "append case-7 grant").key(RequestKey::fresh()));
     /// The successor refuses the resend of a write. The first attempt may have run all the same: a caller
-    /// that is told otherwise would send a new write, which would then run twice.
+    /// that is told otherwise would send the write again, and it would take effect twice.
     refused_resend_of_a_write_leaves_doubt => refused_resend_case(GRANT, true);
     /// The successor refuses the resend of a read. Reads have no effect, so the refusal may be passed on.
     refused_resend_of_a_read_was_not_run => refused_resend_case(STATUS, false);
--- a/crates/daemon/tests/components/limits.rs
+++ b/crates/daemon/tests/components/limits.rs
@@ -23,9 +23,10 @@
 use tokio::time::sleep;
 
 failure_cases! {
-    /// All VMs restart at once, and one of them learns that another leads a group before that one knows
-    /// it, so the other does not accept its declaration. When the declaration was sent once only, the
-    /// ledger granted almost nothing for two seconds, and most requests below their accounts' limits were refused.
+    /// All VMs restart at once, and one of them learns that another VM leads a group before that VM
+    /// itself does. The other VM doesn't accept the declaration then. When declarations were sent once
+    /// only, the ledger lent almost nothing for two seconds, and most requests below their accounts'
+    /// limits were refused.
     declaration_that_was_not_taken_is_made_again => declaration_case();
 }
 
--- a/crates/daemon/tests/components/shapes.rs
+++ b/crates/daemon/tests/components/shapes.rs
@@ -30,8 +30,8 @@
     driver_prepares_reads_and_writes => prepared_statements_case();
     /// A prepared read finds no row. The driver gets an empty result and no error.
     prepared_read_that_finds_nothing_is_empty => empty_case();
-    /// A driver prepares a statement that the database rejects. The caller gets the database's error,
-    /// and its session stays usable.
+    /// A driver prepares a statement that the database refuses as invalid. The caller gets the
+    /// database's error, and its session stays usable.
     unknown_statement_fails_to_prepare => unknown_case();
     /// A statement in a transaction is prepared on the transaction's own connection.
     transaction_prepares_on_its_own_connection => transaction_case();
--- a/crates/daemon/tests/sessions.rs
+++ b/crates/daemon/tests/sessions.rs
@@ -102,7 +102,8 @@
 }
 
 case! {
-    /// A refused write has no position. The position of the write before must be kept.
+    /// No position is known of a write that was refused or whose outcome is unknown. The position of
+    /// the write before must be kept.
     failed_write_keeps_the_position_before {
         let mut session = CallerSession::default();
         let saved = draft(&mut session, write("w"));
