--- a/crates/daemon/src/sessions/session.rs
+++ b/crates/daemon/src/sessions/session.rs
@@ -196,7 +196,7 @@
             return;
         }
         let end = self.serve_statements(admitted, &mut session).await;
-        // The open transaction of a disconnected caller would hold its connection until the idle limit.
+        // A transaction left open by the session would hold its connection until the idle limit.
         if let Some(draft) = session.take_abandoned(true) {
             self.execute(admitted, &draft).await;
         }
--- a/crates/daemon/src/sessions/state.rs
+++ b/crates/daemon/src/sessions/state.rs
@@ -192,12 +192,12 @@
         }
     }
 
-    /// If the caller has `disconnected` while a transaction may still hold a connection, forgets that
+    /// If the `session_ends` while its transaction may still hold a connection, forgets the
     /// transaction and returns its rollback.
-    pub fn take_abandoned(&mut self, disconnected: bool) -> Option<StatementDraft> {
+    pub fn take_abandoned(&mut self, session_ends: bool) -> Option<StatementDraft> {
         let left = match self.progress {
             TransactionProgress::Open(id) | TransactionProgress::Failed(Some(id))
-                if disconnected =>
+                if session_ends =>
             {
                 id
             }
