--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -146,7 +146,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a refusal, with the time to come back, if the account has used up its limit.
+    /// Returns a refusal, with the time to come back, if the account has used up its limit or this
+    /// VM is stopping.
     pub async fn begin(&self, account: &AccountName) -> Result<(), Refusal> {
         let Some(limit) = self.find_limit(account) else {
             return Ok(());
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Returns an operation that has not reached an endpoint to the account's share.
+    /// Gives an operation that has not reached an endpoint back to the account's share.
     pub fn give_back(&self, account: &AccountName) {
         self.state().shares.give_back(self.clock.now(), account);
     }
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -598,7 +598,7 @@
     helpers.spawn(formation.run());
 }
 
-/// Reads the seeds from the settings again at an interval and on SIGHUP, and publishes changes.
+/// Reads the seeds of a native edge again at an interval and on SIGHUP, and publishes changes.
 fn start_seed_watch(
     base: &NodeBase,
     seeds: watch::Sender<Vec<SocketAddr>>,
--- a/crates/daemon/src/statements/links.rs
+++ b/crates/daemon/src/statements/links.rs
@@ -252,7 +252,7 @@
         }
     }
 
-    /// Retries to connect for as long as calls arrive, and refuses them meanwhile.
+    /// Tries to connect repeatedly for as long as calls arrive, and refuses them meanwhile.
     ///
     /// Held until the attempt timed out, a call would lose time in which the next leaseholder could
     /// serve it.
