--- a/crates/control/examples/catalog_slopes.rs
+++ b/crates/control/examples/catalog_slopes.rs
@@ -7,7 +7,7 @@
 use ragwort_control::CatalogState;
 use ragwort_control::plan_placements;
 use ragwort_types::AccessMode;
-use ragwort_types::CallerAdmission;
+use ragwort_types::CallerRule;
 use ragwort_types::CatalogCommand;
 use ragwort_types::CatalogItem;
 use ragwort_types::CatalogRevision;
@@ -277,7 +277,7 @@
         connection_limit: 4,
         queue_limit: 200,
         session_limit: 2_000,
-        callers: CallerAdmission::default(),
+        callers: CallerRule::default(),
     }
 }
 
--- a/crates/control/src/quorum.rs
+++ b/crates/control/src/quorum.rs
@@ -213,7 +213,7 @@
     }
 
     /// Stops waiting for a write that no majority held within `time`.
-    pub fn abandon_overdue(&mut self, ticket: WriteTicket, time: Duration) {
+    pub fn give_up_overdue(&mut self, ticket: WriteTicket, time: Duration) {
         let mut waiting = self.waiting.iter();
         let position = waiting.find_map(|(position, held)| (*held == ticket).then_some(*position));
         if let Some(position) = position {
--- a/crates/control/tests/state/common.rs
+++ b/crates/control/tests/state/common.rs
@@ -4,7 +4,7 @@
 use quickcheck::Gen;
 use ragwort_control::CatalogState;
 use ragwort_types::AccessMode;
-use ragwort_types::CallerAdmission;
+use ragwort_types::CallerRule;
 use ragwort_types::CatalogCommand;
 use ragwort_types::CatalogOutcome;
 use ragwort_types::CatalogRevision;
@@ -216,7 +216,7 @@
         connection_limit: 4,
         queue_limit: 100,
         session_limit: 100,
-        callers: CallerAdmission::default(),
+        callers: CallerRule::default(),
     }
 }
 
--- a/crates/control/tests/state/quorum.rs
+++ b/crates/control/tests/state/quorum.rs
@@ -238,7 +238,7 @@
         quorum.report(now(), now(), &name("b"), status(1, 1, 19));
         let (ticket, _) = quorum.await_majority(position(20));
         assert!(!quorum.would_be_overdue(limit));
-        quorum.abandon_overdue(ticket, limit);
+        quorum.give_up_overdue(ticket, limit);
         assert_eq!(quorum.waiting_writes(), 0);
         assert!(quorum.would_be_overdue(limit));
         assert!(quorum.would_be_overdue(shorter));
--- a/crates/daemon/src/callers/marks.rs
+++ b/crates/daemon/src/callers/marks.rs
@@ -9,7 +9,7 @@
 use ragwort_types::KindName;
 use ragwort_types::MAX_DEADLINE_MS;
 use ragwort_types::RequestKey;
-use ragwort_types::RequestOptions;
+use ragwort_types::RequestMarks;
 use std::fmt;
 use uuid::Uuid;
 
@@ -83,11 +83,11 @@
 /// # Errors
 ///
 /// Returns the first fault in a comment that names a mark.
-pub fn read_marks(scan: &StatementScan<'_>) -> Result<RequestOptions, MarkFault> {
+pub fn read_marks(scan: &StatementScan<'_>) -> Result<RequestMarks, MarkFault> {
     if scan.inner.iter().any(|comment| contains_mark(comment)) {
         return Err(MarkFault::Misplaced);
     }
-    let mut marks = RequestOptions::default();
+    let mut marks = RequestMarks::default();
     for comment in scan.leading.iter().chain(&scan.trailing) {
         if contains_mark(comment) {
             read_comment(comment, &mut marks)?;
@@ -104,7 +104,7 @@
     })
 }
 
-fn read_comment(comment: &str, marks: &mut RequestOptions) -> Result<(), MarkFault> {
+fn read_comment(comment: &str, marks: &mut RequestMarks) -> Result<(), MarkFault> {
     let mut rest = comment.trim();
     loop {
         let (name, after) = split_name(rest)?;
@@ -167,7 +167,7 @@
     u8::try_from(high * 16 + low).ok()
 }
 
-fn set_mark(name: &str, value: &str, marks: &mut RequestOptions) -> Result<(), MarkFault> {
+fn set_mark(name: &str, value: &str, marks: &mut RequestMarks) -> Result<(), MarkFault> {
     match name {
         "kind" => set_once(&mut marks.kind, "kind", read_kind(value)?),
         "key" => set_once(&mut marks.key, "key", read_key(value)?),
--- a/crates/daemon/src/callers/running.rs
+++ b/crates/daemon/src/callers/running.rs
@@ -19,7 +19,7 @@
 use crate::metrics::DaemonMetrics;
 use log::Level;
 use ragwort_types::DoubtCause;
-use ragwort_types::RequestOptions;
+use ragwort_types::RequestMarks;
 use ragwort_types::RequestVerdict;
 use ragwort_types::RowSet;
 use ragwort_types::ServedBy;
@@ -197,7 +197,7 @@
         &self,
         text: &str,
         parameters: Option<Vec<Option<String>>>,
-        marks: RequestOptions,
+        marks: RequestMarks,
         step: TransactionStep,
         waited: Duration,
     ) -> StatementRequest {
@@ -275,7 +275,7 @@
     /// Rolls back a transaction that its caller won't end; the verdict is ignored.
     async fn roll_back(&self, id: TransactionId) {
         let step = TransactionStep::Rollback(id);
-        let marks = RequestOptions::default();
+        let marks = RequestMarks::default();
         let request = self.make_request(ROLLBACK_TEXT, None, marks, step, Duration::ZERO);
         self.service.execute(request).await;
     }
@@ -294,7 +294,7 @@
 fn check_statement(
     scan: &StatementScan<'_>,
     class: StatementClass,
-) -> Result<RequestOptions, CallerError> {
+) -> Result<RequestMarks, CallerError> {
     if let StatementClass::Unsupported(reason) = class {
         return Err(CallerError::not_run("0A000", reason));
     }
--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -22,7 +22,7 @@
 use ragwort_control::CatalogCopy;
 use ragwort_control::ClockTime;
 use ragwort_policy::IsolationWatch;
-use ragwort_policy::RelayBackoff;
+use ragwort_policy::RelayPauses;
 use ragwort_rpc::PeerApiClient;
 use ragwort_types::AccessMode;
 use ragwort_types::CustomerContract;
@@ -35,7 +35,7 @@
 use ragwort_types::MemberRecord;
 use ragwort_types::RefusalCause;
 use ragwort_types::RepeatRule;
-use ragwort_types::RequestOptions;
+use ragwort_types::RequestMarks;
 use ragwort_types::RequestVerdict;
 use ragwort_types::ShapeOutcome;
 use ragwort_types::ShapeReply;
@@ -86,8 +86,8 @@
     outages: Mutex<HashMap<GroupName, ClockTime>>,
     /// The outcomes of attempts to reach other gateways while this one has no lease.
     isolation: Mutex<IsolationWatch>,
-    /// The backoff for groups whose leaseholder other gateways couldn't reach either.
-    relay_backoff: Mutex<RelayBackoff>,
+    /// The pauses for groups whose leaseholder other gateways couldn't reach either.
+    relay_pauses: Mutex<RelayPauses>,
 }
 
 /// The links from a gateway to other VMs.
@@ -177,7 +177,7 @@
             lease,
             outages: Mutex::default(),
             isolation: Mutex::default(),
-            relay_backoff: Mutex::default(),
+            relay_pauses: Mutex::default(),
         }
     }
 
@@ -291,7 +291,7 @@
         let started = self.clock.now();
         let view = self.view.borrow().clone();
         let contract = view.copy.contract(&request.customer);
-        let marks = RequestOptions::default();
+        let marks = RequestMarks::default();
         let Some(terms) = contract.and_then(|held| find_terms(&held.contract, &marks)) else {
             return shape_reply(&request, ShapeOutcome::refused(RefusalCause::Contract, 0));
         };
@@ -470,7 +470,7 @@
         if !self.isolation().may_try(now) {
             return HandOver::NotAccepted(RefusalCause::NoLease);
         }
-        if !self.relay_backoff().may_try(now, &request.group) {
+        if !self.relay_pauses().may_try(now, &request.group) {
             return HandOver::NotAccepted(RefusalCause::NoLeaseholder);
         }
         let mut reached = false;
@@ -497,7 +497,7 @@
         let now = self.clock.now();
         if reached {
             self.isolation().note_reached();
-            self.relay_backoff().note_failed_attempt(now, group);
+            self.relay_pauses().note_failed_attempt(now, group);
             return HandOver::NotAccepted(RefusalCause::NoLeaseholder);
         }
         self.isolation().note_failed_attempt(now);
@@ -524,8 +524,8 @@
             .expect("no holder of this lock panics")
     }
 
-    fn relay_backoff(&self) -> MutexGuard<'_, RelayBackoff> {
-        self.relay_backoff
+    fn relay_pauses(&self) -> MutexGuard<'_, RelayPauses> {
+        self.relay_pauses
             .lock()
             .expect("no holder of this lock panics")
     }
@@ -646,7 +646,7 @@
 }
 
 /// Returns the terms of the kind that a statement's marks name, or of the default kind.
-pub fn find_terms(contract: &CustomerContract, marks: &RequestOptions) -> Option<KindTerms> {
+pub fn find_terms(contract: &CustomerContract, marks: &RequestMarks) -> Option<KindTerms> {
     let kind = marks.kind.as_ref().unwrap_or(&contract.default_kind);
     contract.kind(kind).copied()
 }
@@ -670,7 +670,7 @@
 
 /// Returns the time that a statement may take: the contract's deadline, or the caller's if that is
 /// shorter.
-pub fn find_deadline(terms: &KindTerms, marks: &RequestOptions) -> Duration {
+pub fn find_deadline(terms: &KindTerms, marks: &RequestMarks) -> Duration {
     let asked = marks.deadline_ms.unwrap_or(u64::MAX);
     Duration::from_millis(terms.deadline_ms.min(asked))
 }
--- a/crates/daemon/src/group/describing.rs
+++ b/crates/daemon/src/group/describing.rs
@@ -28,7 +28,7 @@
 use ragwort_types::Refusal;
 use ragwort_types::RefusalCause;
 use ragwort_types::RepeatRule;
-use ragwort_types::RequestOptions;
+use ragwort_types::RequestMarks;
 use ragwort_types::ShapeOutcome;
 use ragwort_types::ShapeReply;
 use ragwort_types::ShapeRequest;
@@ -67,7 +67,7 @@
         reply: oneshot::Sender<ShapeReply>,
     ) {
         let now = self.context.clock.now();
-        let marks = RequestOptions::default();
+        let marks = RequestMarks::default();
         let origin = StatementOrigin {
             customer: &request.customer,
             marks: &marks,
--- a/crates/daemon/src/group/dispatch.rs
+++ b/crates/daemon/src/group/dispatch.rs
@@ -262,7 +262,7 @@
             }
             RequestStage::AwaitingMajority(waiting) => {
                 let time = active.deadline.since(active.arrived);
-                self.quorum.abandon_overdue(waiting, time);
+                self.quorum.give_up_overdue(waiting, time);
                 self.settle(ticket, RequestVerdict::MayHaveRun(DoubtCause::NotConfirmed));
             }
             RequestStage::AwaitingRound(_) | RequestStage::Recording(_) => {
--- a/crates/daemon/src/group/intake.rs
+++ b/crates/daemon/src/group/intake.rs
@@ -26,7 +26,7 @@
 use ragwort_types::KindTerms;
 use ragwort_types::LogPosition;
 use ragwort_types::RefusalCause;
-use ragwort_types::RequestOptions;
+use ragwort_types::RequestMarks;
 use ragwort_types::RequestVerdict;
 use ragwort_types::SessionName;
 use ragwort_types::StatementReply;
@@ -59,7 +59,7 @@
     /// The customer.
     pub(super) customer: &'a CustomerName,
     /// The caller's marks.
-    pub(super) marks: &'a RequestOptions,
+    pub(super) marks: &'a RequestMarks,
     /// The statement's place in a transaction.
     pub(super) step: TransactionStep,
 }
@@ -363,7 +363,7 @@
 }
 
 /// Returns the terms of a statement's kind, tightened by the caller's marks.
-fn apply_marks(contract: &CustomerContract, marks: &RequestOptions) -> Option<KindTerms> {
+fn apply_marks(contract: &CustomerContract, marks: &RequestMarks) -> Option<KindTerms> {
     let mut terms = find_terms(contract, marks)?;
     if let Some(requested) = marks.max_age_ms {
         terms.max_age_ms = terms.max_age_ms.min(requested);
--- a/crates/daemon/src/service.rs
+++ b/crates/daemon/src/service.rs
@@ -25,7 +25,7 @@
 use ragwort_types::GroupName;
 use ragwort_types::Refusal;
 use ragwort_types::RefusalCause;
-use ragwort_types::RequestOptions;
+use ragwort_types::RequestMarks;
 use ragwort_types::RequestVerdict;
 use ragwort_types::ShapeOutcome;
 use ragwort_types::ShapeRequest;
@@ -113,7 +113,7 @@
         &self,
         group: &GroupName,
         customer: &CustomerName,
-        marks: &RequestOptions,
+        marks: &RequestMarks,
     ) -> Result<(), Refusal> {
         const NO_CONTRACT: Refusal = Refusal {
             cause: RefusalCause::Contract,
@@ -299,7 +299,7 @@
             group,
             session,
         } = request.identity;
-        if let Err(refusal) = self.admit(&group, &customer, &RequestOptions::default()) {
+        if let Err(refusal) = self.admit(&group, &customer, &RequestMarks::default()) {
             return DescribeReply::Refused(refusal);
         }
         let request = ShapeRequest {
--- a/crates/daemon/src/sessions/session.rs
+++ b/crates/daemon/src/sessions/session.rs
@@ -24,7 +24,7 @@
 use ragwort_types::CustomerName;
 use ragwort_types::GroupName;
 use ragwort_types::RefusalCause;
-use ragwort_types::RequestOptions;
+use ragwort_types::RequestMarks;
 use ragwort_types::RequestVerdict;
 use ragwort_types::SessionName;
 use ragwort_types::StatementId;
@@ -339,9 +339,9 @@
             customer: admitted.database.clone(),
             session: self.name.clone(),
             group,
-            marks: RequestOptions {
+            marks: RequestMarks {
                 kind: Some(draft.kind.into()),
-                ..RequestOptions::default()
+                ..RequestMarks::default()
             },
             text: draft.text.clone(),
             parameters: None,
--- a/crates/daemon/tests/components/bench.rs
+++ b/crates/daemon/tests/components/bench.rs
@@ -12,7 +12,7 @@
 use ragwort_lab::instance::FollowTarget;
 use ragwort_lab::relay::FaultRelay;
 use ragwort_types::AccessMode;
-use ragwort_types::CallerAdmission;
+use ragwort_types::CallerRule;
 use ragwort_types::CatalogDelta;
 use ragwort_types::CatalogItem;
 use ragwort_types::CatalogRevision;
@@ -33,7 +33,7 @@
 use ragwort_types::PlacementEpoch;
 use ragwort_types::RepeatRule;
 use ragwort_types::RequestKey;
-use ragwort_types::RequestOptions;
+use ragwort_types::RequestMarks;
 use ragwort_types::RowSet;
 use ragwort_types::SessionName;
 use ragwort_types::StatementAnswer;
@@ -129,7 +129,7 @@
         connection_limit: 4,
         queue_limit: 64,
         session_limit: 64,
-        callers: CallerAdmission::default(),
+        callers: CallerRule::default(),
     }
 }
 
@@ -239,7 +239,7 @@
 pub struct RequestBuilder {
     pub text: String,
     pub session: SessionName,
-    pub marks: RequestOptions,
+    pub marks: RequestMarks,
     pub step: TransactionStep,
 }
 
@@ -249,9 +249,9 @@
         Self {
             text: text.to_owned(),
             session: "clerk".into(),
-            marks: RequestOptions {
+            marks: RequestMarks {
                 kind: Some(kind.into()),
-                ..RequestOptions::default()
+                ..RequestMarks::default()
             },
             step: TransactionStep::Single,
         }
--- a/crates/daemon/tests/marks.rs
+++ b/crates/daemon/tests/marks.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
-use ragwort_types::RequestOptions;
+use ragwort_types::RequestMarks;
 use ragwortgated::callers::MarkFault;
 use ragwortgated::callers::StatementClass;
 use ragwortgated::callers::StatementScan;
@@ -10,7 +10,7 @@
 
 const KEY: &str = "0193a3f2-7c00-7000-8000-000000000001";
 
-fn marks_of(text: &str) -> Result<RequestOptions, MarkFault> {
+fn marks_of(text: &str) -> Result<RequestMarks, MarkFault> {
     read_marks(&StatementScan::new(text))
 }
 
@@ -32,7 +32,7 @@
     ($($name:ident: $text:expr;)*) => {$(
         #[test]
         fn $name() {
-            assert_eq!(marks_of($text), Ok(RequestOptions::default()));
+            assert_eq!(marks_of($text), Ok(RequestMarks::default()));
         }
     )*};
 }
--- a/crates/daemon/tests/native/bench.rs
+++ b/crates/daemon/tests/native/bench.rs
@@ -14,7 +14,7 @@
 use ragwort_types::AccessMode;
 use ragwort_types::AccountName;
 use ragwort_types::AccountTerms;
-use ragwort_types::CallerAdmission;
+use ragwort_types::CallerRule;
 use ragwort_types::CatalogCommand;
 use ragwort_types::CatalogDelta;
 use ragwort_types::CatalogItem;
@@ -43,7 +43,7 @@
 use ragwort_types::PlacementEpoch;
 use ragwort_types::RecordedEndpoints;
 use ragwort_types::RepeatRule;
-use ragwort_types::RequestOptions;
+use ragwort_types::RequestMarks;
 use ragwort_types::RequestVerdict;
 use ragwort_types::SessionContext;
 use ragwort_types::SessionValues;
@@ -218,9 +218,9 @@
             customer: "omuti".into(),
             session: "clerk".into(),
             group: "cases".into(),
-            marks: RequestOptions {
+            marks: RequestMarks {
                 kind: Some(self.kind.into()),
-                ..RequestOptions::default()
+                ..RequestMarks::default()
             },
             text: self.text,
             parameters: None,
@@ -505,7 +505,7 @@
     /// Changes the contract so that only callers with an account's key are admitted.
     pub fn require_keys(&self) {
         let mut contract = create_contract();
-        contract.callers = CallerAdmission::KeyHolders;
+        contract.callers = CallerRule::KeyHolders;
         let contract = VersionedContract {
             version: ContractVersion(2),
             change_id: ChangeId::fresh(),
@@ -715,7 +715,7 @@
         connection_limit: 16,
         queue_limit: 64,
         session_limit: 64,
-        callers: CallerAdmission::default(),
+        callers: CallerRule::default(),
     }
 }
 
--- a/crates/lab/src/lab_contract.rs
+++ b/crates/lab/src/lab_contract.rs
@@ -1,7 +1,7 @@
 //! The customer contract of the load tools: request kinds, their deadlines and limits.
 
 use ragwort_types::AccessMode;
-use ragwort_types::CallerAdmission;
+use ragwort_types::CallerRule;
 use ragwort_types::CustomerContract;
 use ragwort_types::CustomerName;
 use ragwort_types::GroupName;
@@ -91,6 +91,6 @@
         connection_limit: 4,
         queue_limit: 64,
         session_limit: 512,
-        callers: CallerAdmission::default(),
+        callers: CallerRule::default(),
     }
 }
--- a/crates/policy/src/isolation.rs
+++ b/crates/policy/src/isolation.rs
@@ -1,4 +1,4 @@
-//! Detection that a gateway is cut off, and backoff of forwarding through other gateways.
+//! Detection that a gateway is cut off, and pauses in forwarding through other gateways.
 //!
 //! # Problem
 //!
@@ -77,11 +77,11 @@
 
 /// The groups whose leaseholder was reachable through no gateway that was tried.
 #[derive(Clone, Debug, Default)]
-pub struct RelayBackoff {
+pub struct RelayPauses {
     failed: BTreeMap<GroupName, ClockTime>,
 }
 
-impl RelayBackoff {
+impl RelayPauses {
     /// Records that another gateway was reached that has no route to the group's leaseholder
     /// either.
     pub fn note_failed_attempt(&mut self, now: ClockTime, group: &GroupName) {
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -142,7 +142,7 @@
 pub use gateway_limit::InFlightLimiter;
 pub use health::HealthLevel;
 pub use isolation::IsolationWatch;
-pub use isolation::RelayBackoff;
+pub use isolation::RelayPauses;
 pub use link_watch::LINK_PROBE_AFTER;
 pub use link_watch::LINK_PROBE_TIMEOUT;
 pub use link_watch::LinkFailureDetector;
--- a/crates/policy/tests/isolation.rs
+++ b/crates/policy/tests/isolation.rs
@@ -2,7 +2,7 @@
 
 use ragwort_policy::ClockTime;
 use ragwort_policy::IsolationWatch;
-use ragwort_policy::RelayBackoff;
+use ragwort_policy::RelayPauses;
 use ragwort_types::GroupName;
 use std::time::Duration;
 
@@ -62,7 +62,7 @@
 /// a second were refused, though another gateway would have forwarded them.
 #[test]
 fn group_without_a_leaseholder_holds_up_its_own_statements_only() {
-    let mut backoff = RelayBackoff::default();
+    let mut backoff = RelayPauses::default();
     let mut isolation = IsolationWatch::default();
     let (lost, led) = (GroupName::from("lost"), GroupName::from("led"));
     let now = ClockTime::from_millis(1_000);
--- a/crates/rpc/tests/frames.rs
+++ b/crates/rpc/tests/frames.rs
@@ -12,7 +12,7 @@
 use ragwort_types::InstanceName;
 use ragwort_types::LogPosition;
 use ragwort_types::RefusalCause;
-use ragwort_types::RequestOptions;
+use ragwort_types::RequestMarks;
 use ragwort_types::RequestVerdict;
 use ragwort_types::ServedBy;
 use ragwort_types::SessionContext;
@@ -33,7 +33,7 @@
         customer: "omuti".into(),
         session: "s-1".into(),
         group: "cases".into(),
-        marks: RequestOptions::default(),
+        marks: RequestMarks::default(),
         text,
         parameters: None,
         step,
--- a/crates/types/src/account.rs
+++ b/crates/types/src/account.rs
@@ -95,7 +95,7 @@
 /// The callers that a contract admits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum CallerAdmission {
+pub enum CallerRule {
     /// All callers; one that presents an account's key uses that account.
     #[default]
     Anyone,
@@ -103,7 +103,7 @@
     KeyHolders,
 }
 
-impl CallerAdmission {
+impl CallerRule {
     /// Returns whether all callers are admitted.
     pub fn is_open(&self) -> bool {
         *self == Self::Anyone
--- a/crates/types/src/contract.rs
+++ b/crates/types/src/contract.rs
@@ -1,6 +1,6 @@
 //! A customer's contract: the kinds of request it may send, and its limits.
 
-use crate::CallerAdmission;
+use crate::CallerRule;
 use crate::ContractVersion;
 use crate::CustomerName;
 use crate::GroupName;
@@ -38,8 +38,8 @@
     /// The maximum number of sessions that may be open at once, per gateway.
     pub session_limit: u32,
     /// The callers that are admitted.
-    #[serde(default, skip_serializing_if = "CallerAdmission::is_open")]
-    pub callers: CallerAdmission,
+    #[serde(default, skip_serializing_if = "CallerRule::is_open")]
+    pub callers: CallerRule,
 }
 
 /// The contract's terms for one kind of request.
--- a/crates/types/src/messages.rs
+++ b/crates/types/src/messages.rs
@@ -47,12 +47,8 @@
     #[serde(rename = "g")]
     pub group: GroupName,
     /// The caller's options for the statement.
-    #[serde(
-        rename = "m",
-        default,
-        skip_serializing_if = "RequestOptions::is_empty"
-    )]
-    pub marks: RequestOptions,
+    #[serde(rename = "m", default, skip_serializing_if = "RequestMarks::is_empty")]
+    pub marks: RequestMarks,
     /// The statement's text.
     #[serde(rename = "t")]
     pub text: String,
@@ -88,7 +84,7 @@
 
 /// A caller's options for one statement.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RequestOptions {
+pub struct RequestMarks {
     /// The kind; `None` means the contract's default kind.
     #[serde(rename = "k", default, skip_serializing_if = "Option::is_none")]
     pub kind: Option<KindName>,
@@ -106,7 +102,7 @@
     pub max_age_ms: Option<u64>,
 }
 
-impl RequestOptions {
+impl RequestMarks {
     /// Returns whether no option is set.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
--- a/crates/types/tests/statement_size.rs
+++ b/crates/types/tests/statement_size.rs
@@ -3,7 +3,7 @@
 use ragwort_types::AccessMode;
 use ragwort_types::GroupTerm;
 use ragwort_types::LogPosition;
-use ragwort_types::RequestOptions;
+use ragwort_types::RequestMarks;
 use ragwort_types::RequestVerdict;
 use ragwort_types::ServedBy;
 use ragwort_types::SessionContext;
@@ -29,10 +29,10 @@
         customer: "daye712".into(),
         session: "18351db4f024".into(),
         group: "cufi63a".into(),
-        marks: RequestOptions {
+        marks: RequestMarks {
             kind: Some("read".into()),
             deadline_ms: Some(1_500),
-            ..RequestOptions::default()
+            ..RequestMarks::default()
         },
         text: String::new(),
         parameters: None,
