--- a/crates/control/src/history.rs
+++ b/crates/control/src/history.rs
@@ -10,8 +10,8 @@
 /// contracts (hundreds of milliseconds).
 const SAMPLE_INTERVAL_MICROS: u64 = 10_000;
 
-/// Maximum number of samples: 82 seconds of a primary that writes in every interval. The age of a replica that is
-/// further behind is unknown, and it serves no reads.
+/// Maximum number of samples: 82 seconds of a primary that writes in every interval. The age of a
+/// replica that is further behind is unknown, and it serves no reads.
 const MAX_SAMPLES: usize = 8_192;
 
 /// The primary's positions, with the times at which they were observed.
--- a/crates/control/src/positions.rs
+++ b/crates/control/src/positions.rs
@@ -17,8 +17,8 @@
 /// Interval within which acknowledged positions are joined to one mark.
 const MARK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Maximum number of marks. At one mark every 5 ms they cover 20 s, beyond every maximum age in use; a read with a
-/// higher one must cover the oldest mark.
+/// Maximum number of marks. At one mark every 5 ms they cover 20 s, beyond every maximum age in
+/// use; a read with a higher one must cover the oldest mark.
 const MAX_MARKS: usize = 4_096;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/control/src/quorum.rs
+++ b/crates/control/src/quorum.rs
@@ -222,7 +222,8 @@
         self.give_up(ticket);
     }
 
-    /// Returns whether a write timed out after at least `time` and a majority still doesn't hold it.
+    /// Returns whether a write timed out after at least `time` and a majority still doesn't hold
+    /// it.
     ///
     /// Another write with as little time would run and end with an unknown outcome too.
     pub fn would_be_overdue(&self, time: Duration) -> bool {
--- a/crates/control/src/replica_estimate.rs
+++ b/crates/control/src/replica_estimate.rs
@@ -8,10 +8,10 @@
 //! Every answer contains the replica's log position, including a refusal. After a refusal the lag
 //! is therefore known, and the replica is assumed to hold no more than the reported position during
 //! a backoff that doubles while the replica makes no progress. Further refusals of reads that were
-//! sent before the first refusal arrived show the same lag and are ignored. If a replica hasn't answered for
-//! [`DECAY_DELAY`], its assumed lag halves every [`LAG_HALF_LIFE`], so that a read is tried within
-//! a few tenths of a second after it has caught up. Doubling the lag at each refusal instead would
-//! keep reads away for seconds after that.
+//! sent before the first refusal arrived show the same lag and are ignored. If a replica hasn't
+//! answered for [`DECAY_DELAY`], its assumed lag halves every [`LAG_HALF_LIFE`], so that a read is
+//! tried within a few tenths of a second after it has caught up. Doubling the lag at each refusal
+//! instead would keep reads away for seconds after that.
 
 use crate::ClockTime;
 use crate::PositionHistory;
--- a/crates/ctl/src/apply.rs
+++ b/crates/ctl/src/apply.rs
@@ -31,8 +31,9 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-/// The maximum number of rounds, in each of which every daemon is tried once. With the pauses between
-/// them, they last several times as long as an election, during which the control VMs have no leader.
+/// The maximum number of rounds, in each of which every daemon is tried once. With the pauses
+/// between them, they last several times as long as an election, during which the control VMs have
+/// no leader.
 const MAX_ROUNDS: usize = 20;
 const ROUND_PAUSE: Duration = Duration::from_millis(250);
 
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -123,8 +123,8 @@
     Ok(CommandOutcome::done(lines.join("\n"), to_value(&contracts)))
 }
 
-/// Converts the error of a read-only call. Even a call without a reply counts as refused, because it
-/// changes nothing.
+/// Converts the error of a read-only call. Even a call without a reply counts as refused, because
+/// it changes nothing.
 pub fn to_read_fault(error: jsonrpsee::core::ClientError) -> CallFault {
     CallFault::Refused(error.to_string())
 }
--- a/crates/ctl/src/document.rs
+++ b/crates/ctl/src/document.rs
@@ -1,6 +1,7 @@
 //! The `document` command, which applies or shows the whole configuration.
 //!
-//! The document with the highest version wins, so a document may safely be resent to another daemon.
+//! The document with the highest version wins, so a document may safely be resent to another
+//! daemon.
 
 use crate::commands::to_value;
 use crate::options::AddressList;
--- a/crates/ctl/tests/commands.rs
+++ b/crates/ctl/tests/commands.rs
@@ -288,8 +288,8 @@
     assert_eq!(daemon.0.lock().unwrap().in_force_status_calls, 4);
 }
 
-/// A member does not confirm the change in time. The operator must not mistake an accepted change for
-/// one that is in force on every member.
+/// A member does not confirm the change in time. The operator must not mistake an accepted change
+/// for one that is in force on every member.
 #[tokio::test]
 async fn wait_timeout_is_an_unknown_outcome() {
     let daemon = FakeDaemon::default();
--- a/crates/daemon/src/callers/answers.rs
+++ b/crates/daemon/src/callers/answers.rs
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Returns the error for an answer whose columns differ from the described ones or from its rows.
+    /// Returns the error for an answer whose columns differ from the described ones or from its
+    /// rows.
     pub(crate) fn shape_mismatch() -> Self {
         Self {
             detail: Some(HAS_RUN_DETAIL),
--- a/crates/daemon/src/callers/conversation.rs
+++ b/crates/daemon/src/callers/conversation.rs
@@ -449,8 +449,8 @@
         }
     }
 
-    /// Sends the answer of a statement. The simple protocol always describes the columns, the extended
-    /// one only on request.
+    /// Sends the answer of a statement. The simple protocol always describes the columns, the
+    /// extended one only on request.
     async fn answer(
         &mut self,
         outcome: StatementOutcome,
--- a/crates/daemon/src/callers/edge.rs
+++ b/crates/daemon/src/callers/edge.rs
@@ -53,8 +53,8 @@
     pub message_bytes: usize,
     /// The time limit of a start-up, from the accepted connection to the complete start-up message.
     pub startup: Duration,
-    /// The time limit for the rest of a message to arrive after its first byte, and for the caller to
-    /// receive a part of an answer.
+    /// The time limit for the rest of a message to arrive after its first byte, and for the caller
+    /// to receive a part of an answer.
     pub statement: Duration,
     /// The time that an open transaction may continue after the start of a drain.
     pub drain: Duration,
--- a/crates/daemon/src/callers/marks.rs
+++ b/crates/daemon/src/callers/marks.rs
@@ -1,9 +1,9 @@
 //! Request marks: attributes of one statement, given by the caller in an SQL comment.
 //!
 //! The syntax is that of sqlcommenter: `/*kind='grant',deadline_ms='500'*/` before or after the
-//! statement. A comment that contains at least one mark's name is parsed as marks, and any fault in it
-//! is an error. If faulty marks were ignored, the request would run under other terms than its caller
-//! meant: a write without its request key, for example, could be applied twice unnoticed.
+//! statement. A comment that contains at least one mark's name is parsed as marks, and any fault in
+//! it is an error. If faulty marks were ignored, the request would run under other terms than its
+//! caller meant: a write without its request key, for example, could be applied twice unnoticed.
 
 use crate::callers::StatementScan;
 use ragwort_types::KindName;
--- a/crates/daemon/src/callers/parameters.rs
+++ b/crates/daemon/src/callers/parameters.rs
@@ -110,8 +110,8 @@
     .ok_or(malformed)
 }
 
-/// Returns the type if its binary format is supported. OID 0 stands for an unspecified type, which is
-/// described to callers as `text`.
+/// Returns the type if its binary format is supported. OID 0 stands for an unspecified type, which
+/// is described to callers as `text`.
 fn known_type(type_id: u32) -> Option<Type> {
     let kind = match type_id {
         0 => Type::TEXT,
--- a/crates/daemon/src/callers/rows.rs
+++ b/crates/daemon/src/callers/rows.rs
@@ -33,7 +33,8 @@
     RowDescription::new(fields)
 }
 
-/// Describes parameters by the types that the caller declared, and as `text` where it declared none.
+/// Describes parameters by the types that the caller declared, and as `text` where it declared
+/// none.
 pub(crate) fn describe_parameters(declared: &[u32], count: usize) -> ParameterDescription {
     let types = (0..count.max(declared.len()))
         .map(|index| match declared.get(index) {
--- a/crates/daemon/src/callers/running.rs
+++ b/crates/daemon/src/callers/running.rs
@@ -1,4 +1,5 @@
-//! Runs a session's statements through the service, one at a time, and tracks the transaction state.
+//! Runs a session's statements through the service, one at a time, and tracks the transaction
+//! state.
 //!
 //! A statement is classified by its first words, checked against the transaction state, run to its
 //! verdict, and the state is updated. Transactions that have no caller any more are rolled back, as
@@ -218,7 +219,8 @@
         }
     }
 
-    /// Executes a request; passes a cancel request, or the caller's disconnection, on to the service.
+    /// Executes a request; passes a cancel request, or the caller's disconnection, on to the
+    /// service.
     async fn execute(
         &mut self,
         stream: &mut CallerStream,
--- a/crates/daemon/src/callers/scan.rs
+++ b/crates/daemon/src/callers/scan.rs
@@ -6,8 +6,8 @@
 
 use smallvec::SmallVec;
 
-/// The number of words that the scan keeps. To classify `create global temporary table` takes three,
-/// and `rollback work and no chain` five.
+/// The number of words that the scan keeps. To classify `create global temporary table` takes
+/// three, and `rollback work and no chain` five.
 const MAX_WORDS: usize = 5;
 
 /// The result of scanning a statement's text.
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Records that a token starts here, and sorts the comments found since the last one into leading
-    /// and inner ones.
+    /// Records that a token starts here, and sorts the comments found since the last one into
+    /// leading and inner ones.
     fn begin_token(&mut self) {
         self.scan.has_second_statement |= self.after_semicolon;
         let comments = std::mem::take(&mut self.scan.trailing);
@@ -149,7 +149,8 @@
         self.position += rest.find(['\n', '\r']).unwrap_or(rest.len());
     }
 
-    /// Scans a block comment. Block comments nest; an unterminated one extends to the end of the text.
+    /// Scans a block comment. Block comments nest; an unterminated one extends to the end of the
+    /// text.
     fn scan_comment(&mut self) {
         let start = self.position + 2;
         let bytes = self.text.as_bytes();
@@ -176,8 +177,8 @@
         self.scan.trailing.push(&self.text[start..end]);
     }
 
-    /// Skips a string. In an `E''` string a backslash escapes the next byte, also in the segments that
-    /// continue the string on later lines.
+    /// Skips a string. In an `E''` string a backslash escapes the next byte, also in the segments
+    /// that continue the string on later lines.
     fn skip_string(&mut self, escapes: bool) {
         loop {
             self.skip_segment(escapes);
@@ -205,8 +206,8 @@
         self.position = bytes.len();
     }
 
-    /// Moves to the next quote and returns true if only whitespace with a line break, and line comments,
-    /// lie between.
+    /// Moves to the next quote and returns true if only whitespace with a line break, and line
+    /// comments, lie between.
     fn continues_on_next_line(&mut self) -> bool {
         let start = self.position;
         let bytes = self.text.as_bytes();
--- a/crates/daemon/src/callers/session.rs
+++ b/crates/daemon/src/callers/session.rs
@@ -182,8 +182,8 @@
 }
 
 /// A session that the service has admitted. Dropping it reports its end to the service, even if the
-/// task panics. Otherwise the session would be counted for good, and the customer would in the end be
-/// refused for too many sessions.
+/// task panics. Otherwise the session would be counted for good, and the customer would in the end
+/// be refused for too many sessions.
 struct AdmittedSession {
     service: Arc<dyn StatementService>,
     identity: SessionIdentity,
--- a/crates/daemon/src/callers/startup.rs
+++ b/crates/daemon/src/callers/startup.rs
@@ -1,5 +1,5 @@
-//! The start-up phase of a caller's connection: TLS and GSS negotiation, the protocol version, and the
-//! options of the session. Encryption is declined; the protocol version is 3.0.
+//! The start-up phase of a caller's connection: TLS and GSS negotiation, the protocol version, and
+//! the options of the session. Encryption is declined; the protocol version is 3.0.
 
 use crate::callers::answers::CallerError;
 use crate::callers::wire::CallerStream;
@@ -114,8 +114,8 @@
     Ok(options)
 }
 
-/// Parses `-c NAME=VALUE` pairs. Other options than the gateway's own are refused: they would be lost
-/// with the first statement that runs on another connection.
+/// Parses `-c NAME=VALUE` pairs. Other options than the gateway's own are refused: they would be
+/// lost with the first statement that runs on another connection.
 fn set_options(text: &str, options: &mut SessionOptions) -> Result<(), CallerError> {
     let mut words = split_words(text).into_iter();
     while let Some(word) = words.next() {
--- a/crates/daemon/src/callers/statement_class.rs
+++ b/crates/daemon/src/callers/statement_class.rs
@@ -1,8 +1,9 @@
 //! Classifies statements by their first words: transaction control, ordinary, or unsupported.
 //!
-//! Endpoint connections are shared between sessions (transaction pooling), so a statement that changes
-//! the state of its connection is refused before it runs. The next customer on the connection would
-//! find the setting, prepared statement or subscription, and the caller itself would not find it again.
+//! Endpoint connections are shared between sessions (transaction pooling), so a statement that
+//! changes the state of its connection is refused before it runs. The next customer on the
+//! connection would find the setting, prepared statement or subscription, and the caller itself
+//! would not find it again.
 
 use crate::callers::StatementScan;
 
--- a/crates/daemon/src/callers/transaction.rs
+++ b/crates/daemon/src/callers/transaction.rs
@@ -1,7 +1,7 @@
 //! The transaction state machine of a session: idle, open or failed.
 //!
-//! It decides whether a statement runs, is refused or is answered by the gateway, and how each verdict
-//! changes the state. As in PostgreSQL, a failed transaction accepts only its end.
+//! It decides whether a statement runs, is refused or is answered by the gateway, and how each
+//! verdict changes the state. As in PostgreSQL, a failed transaction accepts only its end.
 
 use crate::callers::StatementClass;
 use pgwire::messages::response::TransactionStatus;
@@ -100,8 +100,8 @@
     }
 }
 
-/// Returns the transaction that may still be open after a step's verdict though the caller won't end
-/// it. The gateway has to roll it back, or its connection would stay pinned until its deadline.
+/// Returns the transaction that may still be open after a step's verdict though the caller won't
+/// end it. The gateway has to roll it back, or its connection would stay pinned until its deadline.
 pub(crate) fn abandoned_transaction(
     step: TransactionStep,
     verdict: &RequestVerdict,
--- a/crates/daemon/src/callers/wire.rs
+++ b/crates/daemon/src/callers/wire.rs
@@ -29,7 +29,8 @@
 /// The size of a message's length field, which counts itself.
 const LENGTH_BYTES: usize = 4;
 
-/// The maximum number of bytes in one write, and the number of buffered bytes that triggers a write.
+/// The maximum number of bytes in one write, and the number of buffered bytes that triggers a
+/// write.
 const WRITE_CHUNK_BYTES: usize = 65_536;
 
 /// The maximum time that a closing connection waits for the caller to close its side.
@@ -147,7 +148,8 @@
         self.last_read.elapsed()
     }
 
-    /// Returns the next message. Cancel safe: received bytes stay buffered if the future is dropped.
+    /// Returns the next message. Cancel safe: received bytes stay buffered if the future is
+    /// dropped.
     pub(crate) async fn next_message(&mut self) -> Result<PgWireFrontendMessage, StreamFault> {
         loop {
             if let Some(frame) = self.take_frame()? {
@@ -203,8 +205,8 @@
 
     /// Waits until the caller disconnects, reading ahead up to the longest message.
     ///
-    /// Without it the statement of a caller that has disconnected would keep its place in the queue,
-    /// or its slot, until the deadline.
+    /// Without it the statement of a caller that has disconnected would keep its place in the
+    /// queue, or its slot, until the deadline.
     pub(crate) async fn wait_closed(&mut self) {
         while self.inbound.len() <= self.limits.message_bytes {
             match self.socket.read_buf(&mut self.inbound).await {
@@ -262,7 +264,8 @@
     check_text(&frame, phase)?;
     let kind = frame.first().copied().unwrap_or_default();
     // The codec panics on counts that point beyond the message. Uncaught, that would end the
-    // connection without an error. Unwind safe: the only state touched is the frame, which is dropped.
+    // connection without an error. Unwind safe: the only state touched is the frame, which is
+    // dropped.
     let decoded = catch_unwind(AssertUnwindSafe(|| {
         let message = decode_whole(&mut frame, phase);
         (message, frame.is_empty())
--- a/crates/daemon/src/control/commands.rs
+++ b/crates/daemon/src/control/commands.rs
@@ -23,8 +23,8 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// The maximum number of commands that wait to be committed. At the system's size expected after two
-/// years, the takeovers after the loss of a failure domain propose some hundred at once.
+/// The maximum number of commands that wait to be committed. At the system's size expected after
+/// two years, the takeovers after the loss of a failure domain propose some hundred at once.
 const MAX_UNCOMMITTED_COMMANDS: usize = 2_048;
 
 impl ControlTask {
--- a/crates/daemon/src/control/heartbeats.rs
+++ b/crates/daemon/src/control/heartbeats.rs
@@ -200,10 +200,10 @@
     /// Sends the granted replies that are due, and those with changes that need prompt delivery.
     ///
     /// A reply waits until this VM's catalog has reached the leader's revision at the grant. If no
-    /// change needs prompt delivery, it is then held for half a heartbeat interval, so that a change
-    /// that is committed in that time reaches the member at once and not with its next heartbeat. A
-    /// member that lacks too much for a delta gets a grant without one, and fetches the changes in
-    /// pieces.
+    /// change needs prompt delivery, it is then held for half a heartbeat interval, so that a
+    /// change that is committed in that time reaches the member at once and not with its next
+    /// heartbeat. A member that lacks too much for a delta gets a grant without one, and fetches
+    /// the changes in pieces.
     pub(super) fn send_due_replies(&mut self) {
         let revision = self.catalog.revision();
         let now = self.clock.now();
--- a/crates/daemon/src/edges/callers.rs
+++ b/crates/daemon/src/edges/callers.rs
@@ -132,14 +132,15 @@
 pub struct CallerError {
     /// The kind of error.
     pub sort: CallerErrorSort,
-    /// The time to wait before a retry, in milliseconds; zero if a retry is useless or the time unknown.
+    /// The time to wait before a retry, in milliseconds; zero if a retry is useless or the time
+    /// unknown.
     pub come_back_after_ms: u64,
     /// The error message.
     pub text: String,
 }
 
-/// The kind of an error that is sent to a caller. Where the doc says that nothing is kept, the statement,
-/// or its whole transaction, has no effect.
+/// The kind of an error that is sent to a caller. Where the doc says that nothing is kept, the
+/// statement, or its whole transaction, has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum CallerErrorSort {
     /// The system is overloaded, or nothing can serve the statement at present; nothing is kept.
--- a/crates/daemon/src/edges/mod.rs
+++ b/crates/daemon/src/edges/mod.rs
@@ -1,8 +1,8 @@
 //! The traits by which the daemon is adapted to other protocols and platforms, one file each.
 //!
 //! Without them the daemon speaks PostgreSQL's protocol to callers and endpoints, and JSON-RPC to
-//! agents. An implementation of these traits only translates: sockets, time-outs, retries and all state
-//! remain in the daemon.
+//! agents. An implementation of these traits only translates: sockets, time-outs, retries and all
+//! state remain in the daemon.
 
 mod callers;
 mod endpoints;
--- a/crates/daemon/src/edges/promotions.rs
+++ b/crates/daemon/src/edges/promotions.rs
@@ -21,8 +21,8 @@
     pub instance: InstanceName,
     /// The VM that holds the group's lease and gives the order.
     pub holder: VmName,
-    /// The fencing token: a number from the replicated log, unique to this order. An order with a higher
-    /// token supersedes it.
+    /// The fencing token: a number from the replicated log, unique to this order. An order with a
+    /// higher token supersedes it.
     pub token: u64,
 }
 
--- a/crates/daemon/src/group/outcomes.rs
+++ b/crates/daemon/src/group/outcomes.rs
@@ -150,8 +150,8 @@
         }
     }
 
-    /// Starts the validation of an instance's idle connections, which keeps statements away from them
-    /// until they have answered.
+    /// Starts the validation of an instance's idle connections, which keeps statements away from
+    /// them until they have answered.
     pub(super) fn validate_idle_connections(&mut self, instance: &InstanceName) {
         for _ in 0..self.pool.validate_idle(instance) {
             self.scheduler.connection_validation_started(instance);
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -280,8 +280,8 @@
         }
     }
 
-    /// Adds the share requests that are due to `requests`, which are grouped by the VM that keeps the
-    /// ledger. Returns the accounts whose ledgers no VM keeps.
+    /// Adds the share requests that are due to `requests`, which are grouped by the VM that keeps
+    /// the ledger. Returns the accounts whose ledgers no VM keeps.
     fn add_due_requests(
         &self,
         state: &mut LimiterState,
--- a/crates/daemon/src/native/dispatch.rs
+++ b/crates/daemon/src/native/dispatch.rs
@@ -1,8 +1,9 @@
-//! Sends statements to endpoints as the scheduler decides, and settles them with their final verdicts.
+//! Sends statements to endpoints as the scheduler decides, and settles them with their final
+//! verdicts.
 //!
-//! The scheduler chooses the instance. This module chooses the connection: the pinned one of an open
-//! transaction, an idle one of the caller's account, or a new one. The statement is sent there after the
-//! commands that restore its session's state.
+//! The scheduler chooses the instance. This module chooses the connection: the pinned one of an
+//! open transaction, an idle one of the caller's account, or a new one. The statement is sent there
+//! after the commands that restore its session's state.
 
 use super::NativeTask;
 use super::link::CommandList;
@@ -39,8 +40,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long an endpoint's refusal for its connection limit lowers the number of connections opened there.
-/// An endpoint still counts the connections of a lost leaseholder for some seconds.
+/// How long an endpoint's refusal for its connection limit lowers the number of connections opened
+/// there. An endpoint still counts the connections of a lost leaseholder for some seconds.
 const FULL_ENDPOINT_TTL: Duration = Duration::from_millis(500);
 
 impl NativeTask {
@@ -75,8 +76,8 @@
         }
     }
 
-    /// Opens a connection for the account that is most likely to need one; returns false if the instance
-    /// isn't known.
+    /// Opens a connection for the account that is most likely to need one; returns false if the
+    /// instance isn't known.
     pub(super) fn open_connection(&mut self, now: ClockTime, instance: &InstanceName) -> bool {
         let held = self.pool.list_held(instance);
         let account = self.demand.choose(now, &held);
@@ -148,8 +149,9 @@
         }
     }
 
-    /// Opens a connection for a statement whose account has no idle one to the instance, in place of
-    /// another account's idle one if the limits leave no room. The statement is sent once it is open.
+    /// Opens a connection for a statement whose account has no idle one to the instance, in place
+    /// of another account's idle one if the limits leave no room. The statement is sent once it is
+    /// open.
     ///
     /// Returns `None` if the limits leave no room and no connection is idle.
     fn open_for_account(
@@ -235,8 +237,8 @@
 
     /// Ends a statement's transaction and refuses the statement with `TransactionLost`.
     ///
-    /// Any other cause would invite the caller to repeat this statement alone, without the transaction's
-    /// earlier statements.
+    /// Any other cause would invite the caller to repeat this statement alone, without the
+    /// transaction's earlier statements.
     pub(super) fn lose_transaction(&mut self, ticket: RequestTicket, step: TransactionStep) {
         if let Some(transaction) = held_transaction(step) {
             self.end_transaction(transaction);
@@ -286,7 +288,8 @@
         self.settle(ticket, verdict);
     }
 
-    /// Cancels a queued statement. A running one goes on, as the protocol of native endpoints can't cancel.
+    /// Cancels a queued statement. A running one goes on, as the protocol of native endpoints can't
+    /// cancel.
     pub(super) fn cancel(&mut self, id: StatementId) {
         let Some(ticket) = self.tickets.get(&id).copied() else {
             return;
@@ -307,8 +310,8 @@
     }
 }
 
-/// Lists the commands of a statement: the replay of session state, the begin of its transaction, and the
-/// statement itself.
+/// Lists the commands of a statement: the replay of session state, the begin of its transaction,
+/// and the statement itself.
 fn list_commands(active: &NativeRequest, prelude: &StatementPrelude) -> CommandList {
     let mut commands: CommandList = prelude.replay.iter().map(replay_command).collect();
     let after = Some(active.min_position).filter(|position| *position > LogPosition::default());
--- a/crates/daemon/src/native/faults.rs
+++ b/crates/daemon/src/native/faults.rs
@@ -1,9 +1,9 @@
-//! Faults that endpoints report: what a fault reveals about its instance, and how its statement is retried
-//! or settled.
+//! Faults that endpoints report: what a fault reveals about its instance, and how its statement is
+//! retried or settled.
 //!
-//! A statement that wasn't run and doesn't belong to an open transaction is requeued within the scheduler's
-//! retry budget, and may run on another instance. So is a single read that failed. For any other statement
-//! the fault is the answer.
+//! A statement that wasn't run and doesn't belong to an open transaction is requeued within the
+//! scheduler's retry budget, and may run on another instance. So is a single read that failed. For
+//! any other statement the fault is the answer.
 
 use super::NativeTask;
 use super::dispatch::held_transaction;
@@ -128,8 +128,8 @@
         })
     }
 
-    /// Requeues a statement that did not run, or changed nothing, within the retry budget, and settles it if
-    /// the budget is spent.
+    /// Requeues a statement that did not run, or changed nothing, within the retry budget, and
+    /// settles it if the budget is spent.
     fn requeue_after_fault(
         &mut self,
         ticket: RequestTicket,
@@ -165,7 +165,8 @@
     }
 }
 
-/// Returns the scheduler's outcome for a statement that an instance didn't run because of this fault.
+/// Returns the scheduler's outcome for a statement that an instance didn't run because of this
+/// fault.
 fn outcome_of(sort: EndpointFaultKind) -> FinishOutcome {
     match sort {
         EndpointFaultKind::Lagging => FinishOutcome::Behind,
--- a/crates/daemon/src/native/handover.rs
+++ b/crates/daemon/src/native/handover.rs
@@ -1,9 +1,9 @@
-//! Planned handover of the group to another VM: when this VM drains, leads more groups than its share, or
-//! is farther from the endpoints than another one.
+//! Planned handover of the group to another VM: when this VM drains, leads more groups than its
+//! share, or is farther from the endpoints than another one.
 //!
 //! A handover first lets open transactions end, for at most a part of the drain time, while single
-//! statements are still served. Then it proposes the placement that moves the group. From the proposal on
-//! the successor may serve, so commits are neither run nor acknowledged here any more.
+//! statements are still served. Then it proposes the placement that moves the group. From the
+//! proposal on the successor may serve, so commits are neither run nor acknowledged here any more.
 
 use super::NativeTask;
 use crate::log_event;
@@ -17,12 +17,12 @@
 use ragwort_types::TransactionStep;
 use std::time::Duration;
 
-/// Divisor of the drain time that gives the time limit for open transactions in a handover. The rest of
-/// the drain time is left for the handover itself.
+/// Divisor of the drain time that gives the time limit for open transactions in a handover. The
+/// rest of the drain time is left for the handover itself.
 const TRANSACTION_DRAIN_DIVISOR: u32 = 2;
 
-/// Minimum time for which a VM leads a group before it hands it over, unless it drains. Each move pauses
-/// callers, and groups that moved many times a second were not served at all.
+/// Minimum time for which a VM leads a group before it hands it over, unless it drains. Each move
+/// pauses callers, and groups that moved many times a second were not served at all.
 const MIN_LEAD_TIME: Duration = Duration::from_secs(2);
 
 /// Progress of a handover.
@@ -55,9 +55,9 @@
 
     /// Returns whether a statement of this step is refused because of the handover.
     ///
-    /// Open transactions may take a second to end, and refusing the other callers for as long would serve
-    /// no purpose. So single statements are served until the last transaction has ended, or its time is
-    /// over, and are refused only from then until the successor answers.
+    /// Open transactions may take a second to end, and refusing the other callers for as long would
+    /// serve no purpose. So single statements are served until the last transaction has ended, or
+    /// its time is over, and are refused only from then until the successor answers.
     pub(super) fn refuses(&self, step: TransactionStep) -> bool {
         match step {
             TransactionStep::Single => self.refuses_single_statements,
--- a/crates/daemon/src/native/intake.rs
+++ b/crates/daemon/src/native/intake.rs
@@ -1,5 +1,5 @@
-//! Admission of statements: checks the lease, the handover and the contract, determines the minimum log
-//! position that the statement must see, and queues it at the scheduler.
+//! Admission of statements: checks the lease, the handover and the contract, determines the minimum
+//! log position that the statement must see, and queues it at the scheduler.
 
 use super::NativeTask;
 use super::dispatch::held_transaction;
@@ -97,7 +97,8 @@
         if self.handover.refuses(request.step) {
             return Err(RefusalCause::NoLeaseholder);
         }
-        // Once the successor may serve, a commit can't be acknowledged here any more, so none is run.
+        // Once the successor may serve, a commit can't be acknowledged here any more, so none is
+        // run.
         let over = self.handover.successor_may_serve();
         if let Some(transaction) = request.step.transaction()
             && !opens
@@ -119,8 +120,8 @@
 
     /// Returns the minimum log position of an instance that may serve a statement.
     ///
-    /// It covers the session's own writes, and every write that was acknowledged longer ago than the age
-    /// that the statement's kind allows.
+    /// It covers the session's own writes, and every write that was acknowledged longer ago than
+    /// the age that the statement's kind allows.
     fn find_min_position(
         &self,
         now: ClockTime,
@@ -159,8 +160,8 @@
 
     /// Recomputes the minimum positions of queued statements after a primary was found.
     ///
-    /// The minimum of a read that arrived while no primary was known is too low. A replica that is far
-    /// behind would serve it with data that is older than allowed.
+    /// The minimum of a read that arrived while no primary was known is too low. A replica that is
+    /// far behind would serve it with data that is older than allowed.
     pub(super) fn raise_min_positions(&mut self) {
         let now = self.now();
         let waiting = self.requests.iter().filter(|(_, active)| {
@@ -228,9 +229,9 @@
 
 /// Returns the maximum age of data that is passed to the scheduler: zero, or no limit.
 ///
-/// The minimum position already expresses a read's allowed age, so a replica that holds it may serve the
-/// read whatever its estimated lag. With the lag as a second condition, a replica that holds the position
-/// would serve nothing until an overestimated lag has come down.
+/// The minimum position already expresses a read's allowed age, so a replica that holds it may
+/// serve the read whatever its estimated lag. With the lag as a second condition, a replica that
+/// holds the position would serve nothing until an overestimated lag has come down.
 fn find_age(terms: &KindTerms) -> Duration {
     match terms.max_age_ms {
         0 => Duration::ZERO,
--- a/crates/daemon/src/native/link.rs
+++ b/crates/daemon/src/native/link.rs
@@ -1,9 +1,9 @@
 //! One connection to an endpoint of a native group.
 //!
-//! A task owns the socket and carries out one order at a time: the commands that restore the session's
-//! state on the connection, then the statement. Commands aren't pipelined. The first one that fails ends
-//! the order, so a statement never runs in another session's state, and a statement that was not sent
-//! is reported as not sent instead of in doubt.
+//! A task owns the socket and carries out one order at a time: the commands that restore the
+//! session's state on the connection, then the statement. Commands aren't pipelined. The first one
+//! that fails ends the order, so a statement never runs in another session's state, and a statement
+//! that was not sent is reported as not sent instead of in doubt.
 
 use crate::edges::EndpointCommand;
 use crate::edges::EndpointEnd;
@@ -32,11 +32,12 @@
 use tokio::time::timeout;
 use tokio::time::timeout_at;
 
-/// The TCP user timeout: sent data that stays unacknowledged for this long ends the connection. Without
-/// it the kernel retransmits for many minutes.
+/// The TCP user timeout: sent data that stays unacknowledged for this long ends the connection.
+/// Without it the kernel retransmits for many minutes.
 const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_secs(2);
 
-/// Capacity of a connection's order queue. While an order runs, at most one more is expected to wait.
+/// Capacity of a connection's order queue. While an order runs, at most one more is expected to
+/// wait.
 const ORDER_QUEUE: usize = 4;
 
 /// Read buffer size in bytes. Answers take about a kilobyte.
@@ -65,7 +66,8 @@
     pub(crate) protocol: Arc<dyn EndpointProtocol>,
 }
 
-/// Commands in sending order. The last one is the order's own; those before it prepare the connection.
+/// Commands in sending order. The last one is the order's own; those before it prepare the
+/// connection.
 pub(crate) type CommandList = SmallVec<[EndpointCommand; 3]>;
 
 /// Commands that the leaseholder sends on a connection as one unit.
@@ -206,7 +208,8 @@
     loop {
         let order = tokio::select! {
             order = orders.recv() => order,
-            // The endpoint sends nothing between two orders, so readable means closed or out of step.
+            // The endpoint sends nothing between two orders, so readable means closed or out of
+            // step.
             () = socket.wait_for_end() => return CloseCause::Broken,
         };
         let Some(order) = order else {
@@ -223,8 +226,8 @@
         if events.send(LinkEvent { id, change }).await.is_err() {
             return CloseCause::Released;
         }
-        // A connection with an outstanding answer is never used again: the late answer would be taken
-        // for that of the next statement.
+        // A connection with an outstanding answer is never used again: the late answer would be
+        // taken for that of the next statement.
         if let Some(cause) = cause {
             return_unsent(id, orders, events).await;
             return cause;
@@ -320,8 +323,8 @@
 impl LinkSocket {
     /// Carries out an order's commands one after the other.
     ///
-    /// Each command is sent only after the one before was answered. If they were pipelined, a statement
-    /// after a refused BEGIN would run outside any transaction.
+    /// Each command is sent only after the one before was answered. If they were pipelined, a
+    /// statement after a refused BEGIN would run outside any transaction.
     async fn carry_out(&mut self, order: LinkOrder) -> LinkOutcome {
         let mut done = 0;
         let mut last_end = None;
@@ -355,7 +358,8 @@
     async fn exchange(&mut self, command: &EndpointCommand, kind: ExchangeKind) -> Exchange {
         self.sent.clear();
         self.protocol.encode(command, &mut self.sent);
-        // Once the write has begun, a part of the command may arrive, and it can't be reported as not sent.
+        // Once the write has begun, a part of the command may arrive, and it can't be reported as
+        // not sent.
         if self.is_closed() {
             return Exchange::NotSent;
         }
@@ -395,7 +399,8 @@
 
     /// Returns whether the endpoint has closed the connection or sent data that nothing asked for.
     ///
-    /// A statement written to such a connection would be lost and its caller told that it may have run.
+    /// A statement written to such a connection would be lost and its caller told that it may have
+    /// run.
     fn is_closed(&mut self) -> bool {
         let mut byte = [0];
         match self.stream.try_read(&mut byte) {
--- a/crates/daemon/src/native/mod.rs
+++ b/crates/daemon/src/native/mod.rs
@@ -1,21 +1,22 @@
 //! The leaseholder task of a native group: a group whose databases number their replication terms
 //! themselves.
 //!
-//! In the groups of [`group`](crate::group) the leaseholder decides by a majority of positions and fences
-//! instances. In a native group the database assigns the terms, acknowledges writes by its own rule, and
-//! is promoted by an external service that the leaseholder sends orders to. Scheduler, placements and
-//! leases are the same for both.
+//! In the groups of [`group`](crate::group) the leaseholder decides by a majority of positions and
+//! fences instances. In a native group the database assigns the terms, acknowledges writes by its
+//! own rule, and is promoted by an external service that the leaseholder sends orders to.
+//! Scheduler, placements and leases are the same for both.
 //!
 //! One task owns the group's connections, queue and positions, so none of that state is locked.
 //! Statements, announcements and the results of child tasks reach it as messages.
 //!
 //! A statement passes these modules in order:
 //!
-//! - `intake` checks it, determines the log position that it must see and queues it at the scheduler;
+//! - `intake` checks it, determines the log position that it must see and queues it at the
+//!   scheduler;
 //! - `dispatch` picks a connection and lists the session state to replay there;
 //! - `link` sends the commands and reads the answers;
-//! - `outcomes` derives the verdict that the caller gets, and `faults` retries or settles a statement
-//!   for which the endpoint reported a fault.
+//! - `outcomes` derives the verdict that the caller gets, and `faults` retries or settles a
+//!   statement for which the endpoint reported a fault.
 //!
 //! `primary` tracks the instances' roles and replaces a failed or leaving primary, `handover` moves
 //! the group to another VM, and `notes` keeps the endpoints in the catalog for a successor.
@@ -82,8 +83,8 @@
 /// Interval of the periodic checks.
 const TICK: Duration = Duration::from_millis(10);
 
-/// Interval of the periodic checks in an idle group. A VM may lead many idle groups, whose checks at the
-/// shorter interval would take more CPU time than the groups in use.
+/// Interval of the periodic checks in an idle group. A VM may lead many idle groups, whose checks
+/// at the shorter interval would take more CPU time than the groups in use.
 const IDLE_TICK: Duration = Duration::from_millis(50);
 
 /// Maximum number of events handled before one run of the scheduler.
@@ -111,7 +112,8 @@
     scheduler: GroupScheduler,
     pool: NativePool,
     demand: AccountDemand,
-    /// Whether client accounts are configured. Each connection then serves callers of one account only.
+    /// Whether client accounts are configured. Each connection then serves callers of one account
+    /// only.
     by_account: bool,
     roles: InstanceRoles,
     /// The last primary that was found, and its term; `history` holds its positions.
@@ -123,7 +125,8 @@
     suspect: Option<InstanceName>,
     /// Tracks how long the group has had no usable primary.
     primary_absence: PrimaryAbsence,
-    /// When the promotion service accepted the last order; `None` once a primary was found after it.
+    /// When the promotion service accepted the last order; `None` once a primary was found after
+    /// it.
     promotion_ordered_at: Option<ClockTime>,
     /// Estimated time from an accepted promotion order until its primary is found.
     promotion_time: Duration,
@@ -287,7 +290,8 @@
         self.view.borrow().may_lead(self.now(), vm, &self.group)
     }
 
-    /// Applies a change of this VM's catalog view; returns false if the group has moved to another VM.
+    /// Applies a change of this VM's catalog view; returns false if the group has moved to another
+    /// VM.
     fn apply_view(&mut self) -> bool {
         self.apply_contracts();
         let view = self.view.borrow_and_update().clone();
@@ -326,8 +330,8 @@
         wake.map_or(IDLE_TICK, |wake| wake.since(now))
     }
 
-    /// Returns whether the group has no requests, has a usable primary, and neither its primary nor its
-    /// leaseholder is being replaced.
+    /// Returns whether the group has no requests, has a usable primary, and neither its primary nor
+    /// its leaseholder is being replaced.
     fn is_group_idle(&self) -> bool {
         let unused = self.requests.is_empty() && self.transactions.is_empty();
         let steady = self.replacement.state() == ReplacementState::Steady;
--- a/crates/daemon/src/native/notes.rs
+++ b/crates/daemon/src/native/notes.rs
@@ -1,17 +1,18 @@
-//! Recorded endpoints: the leaseholder records the group's endpoints and primary in the catalog, and its
-//! successor connects to them without waiting for their announcements.
+//! Recorded endpoints: the leaseholder records the group's endpoints and primary in the catalog,
+//! and its successor connects to them without waiting for their announcements.
 //!
 //! # Purpose
 //!
-//! Endpoints announce themselves about once a second. After the failure of a leaseholder's VM, or the
-//! return of a whole failure domain from a loss of power, a successor that waited for the announcements
-//! would have no primary for half a second on average, and would refuse every write until then.
+//! Endpoints announce themselves about once a second. After the failure of a leaseholder's VM, or
+//! the return of a whole failure domain from a loss of power, a successor that waited for the
+//! announcements would have no primary for half a second on average, and would refuse every write
+//! until then.
 //!
 //! # Safety
 //!
-//! The record may be out of date. The opening exchange names the expected instance, so a connection is
-//! refused if its address belongs to another one by now. Each instance that answers is asked for its
-//! role and term before it is used.
+//! The record may be out of date. The opening exchange names the expected instance, so a connection
+//! is refused if its address belongs to another one by now. Each instance that answers is asked for
+//! its role and term before it is used.
 
 use super::NativeTask;
 use crate::log_event;
@@ -28,8 +29,8 @@
 use ragwort_types::RecordedEndpoints;
 use std::time::Duration;
 
-/// How long a change waits so that others are noted together with it, since each note goes to every VM.
-/// All endpoints of a group announce themselves within twice this time.
+/// How long a change waits so that others are noted together with it, since each note goes to every
+/// VM. All endpoints of a group announce themselves within twice this time.
 const NOTE_DELAY: Duration = Duration::from_millis(600);
 
 /// State of the proposals that note the endpoints in the catalog.
@@ -114,7 +115,8 @@
         known.collect()
     }
 
-    /// Handles the reply to a proposed note. A remaining difference is noted after another [`NOTE_DELAY`].
+    /// Handles the reply to a proposed note. A remaining difference is noted after another
+    /// [`NOTE_DELAY`].
     pub(super) fn handle_notes_reply(&mut self, reply: &CommandReply) {
         self.notes.proposed = false;
         self.notes.differs_since = None;
--- a/crates/daemon/src/native/outcomes.rs
+++ b/crates/daemon/src/native/outcomes.rs
@@ -1,9 +1,9 @@
 //! Handles the events of connections, and derives the verdicts that callers get.
 //!
-//! A statement of which nothing was sent may run elsewhere. A write or commit whose answer is missing, or
-//! arrives when this VM may no longer answer for the group, is reported as in doubt: repeating it could
-//! run it twice, and refusing it would claim that it had no effect. Only a statement of an idempotent
-//! kind may be repeated when its answer is missing.
+//! A statement of which nothing was sent may run elsewhere. A write or commit whose answer is
+//! missing, or arrives when this VM may no longer answer for the group, is reported as in doubt:
+//! repeating it could run it twice, and refusing it would claim that it had no effect. Only a
+//! statement of an idempotent kind may be repeated when its answer is missing.
 
 use super::NativeTask;
 use super::link::CloseCause;
@@ -128,8 +128,9 @@
         }
     }
 
-    /// Ends a connection's validation. A connection that answered may be used again, without the session
-    /// state that the validation's reset has cleared; one that did not answer is marked unusable.
+    /// Ends a connection's validation. A connection that answered may be used again, without the
+    /// session state that the validation's reset has cleared; one that did not answer is marked
+    /// unusable.
     fn handle_validation_result(&mut self, id: LinkId, answered: bool) {
         let Some(connection) = self.pool.connection_mut(id) else {
             return;
@@ -144,10 +145,12 @@
         }
     }
 
-    /// Removes an open connection that takes no further orders, without waiting for its close event.
+    /// Removes an open connection that takes no further orders, without waiting for its close
+    /// event.
     ///
-    /// The scheduler would count it as idle until then and dispatch one waiting request after the other
-    /// on it. A connection that has never opened stays until its close event brings the cause.
+    /// The scheduler would count it as idle until then and dispatch one waiting request after the
+    /// other on it. A connection that has never opened stays until its close event brings the
+    /// cause.
     fn remove_unusable(&mut self, id: LinkId) {
         if self
             .pool
@@ -218,8 +221,8 @@
             led_ms = self.now().since(self.taken_over_at).as_millis(),
         );
         match cause {
-            // Another instance has the address now. The endpoint stays if it has announced a new address
-            // since the connection was begun.
+            // Another instance has the address now. The endpoint stays if it has announced a new
+            // address since the connection was begun.
             CloseCause::WrongInstance => {
                 let present = self.pool.endpoint(instance);
                 if present.is_some_and(|one| one.announcement.data_address == address) {
@@ -374,10 +377,11 @@
             replica: !leads,
             position,
         };
-        // A leaseholder that was suspended resumes with answers from before its lease ended. Since then a
-        // successor may have acknowledged writes that these answers lack. A leaseholder that has handed the
-        // group over may still have commits under way. Its successor may have read the primary's position
-        // before they were done, and would let replicas without these commits serve reads.
+        // A leaseholder that was suspended resumes with answers from before its lease ended. Since
+        // then a successor may have acknowledged writes that these answers lack. A leaseholder that
+        // has handed the group over may still have commits under way. Its successor may have read
+        // the primary's position before they were done, and would let replicas without these
+        // commits serve reads.
         let handed_over = commits && self.handover.successor_may_serve();
         if !self.may_serve() || handed_over {
             return self.withhold_answer(ticket, step, commits);
@@ -394,8 +398,9 @@
     /// Settles a statement whose answer this VM may not give any more.
     ///
     /// A single read is refused with `NoLease`, and its gateway sends it to the next leaseholder. A
-    /// statement of a transaction must not be: the gateway would also send a transaction's first write
-    /// again. It would run a second time, beside the first one's transaction, which nobody would end.
+    /// statement of a transaction must not be: the gateway would also send a transaction's first
+    /// write again. It would run a second time, beside the first one's transaction, which nobody
+    /// would end.
     fn withhold_answer(&mut self, ticket: RequestTicket, step: TransactionStep, commits: bool) {
         match step {
             _ if commits => {
@@ -416,7 +421,8 @@
         }
     }
 
-    /// Pins a connection to a transaction, keeps it pinned, or frees it, after a statement has ended.
+    /// Pins a connection to a transaction, keeps it pinned, or frees it, after a statement has
+    /// ended.
     pub(super) fn update_transaction(
         &mut self,
         ticket: RequestTicket,
@@ -478,11 +484,11 @@
         }
     }
 
-    /// Starts the validation of each idle connection of an instance, which keeps statements off it until it
-    /// has answered.
+    /// Starts the validation of each idle connection of an instance, which keeps statements off it
+    /// until it has answered.
     ///
-    /// One silent connection suggests that a device on the path, such as a firewall, has dropped the state
-    /// of all of them. Each would otherwise cost a statement a timeout.
+    /// One silent connection suggests that a device on the path, such as a firewall, has dropped
+    /// the state of all of them. Each would otherwise cost a statement a timeout.
     pub(super) fn validate_idle_connections(&mut self, instance: &InstanceName) {
         for id in self.pool.links_of(instance) {
             let idle = self.pool.connection(id).is_some_and(|one| one.is_idle());
--- a/crates/daemon/src/native/pool.rs
+++ b/crates/daemon/src/native/pool.rs
@@ -1,8 +1,8 @@
 //! The endpoints and connections of a native group.
 //!
-//! Each connection is opened for one account, whose rights the endpoint applies to all statements on it.
-//! So a statement gets an idle connection of its own account only, and of those the one that needs the
-//! fewest commands to restore the session's state.
+//! Each connection is opened for one account, whose rights the endpoint applies to all statements
+//! on it. So a statement gets an idle connection of its own account only, and of those the one that
+//! needs the fewest commands to restore the session's state.
 
 use super::link::LinkEvent;
 use super::link::LinkId;
@@ -134,7 +134,8 @@
         self.open && free && !self.unusable && !self.validating
     }
 
-    /// Queues an order at the connection's task; returns false if the task has ended or its queue is full.
+    /// Queues an order at the connection's task; returns false if the task has ended or its queue
+    /// is full.
     pub(super) fn send(&self, order: LinkOrder) -> bool {
         self.orders.try_send(order).is_ok()
     }
@@ -252,7 +253,8 @@
         silent.map(|(instance, _)| instance.clone()).collect()
     }
 
-    /// Begins to open a connection to an instance for an account's callers. An event reports the outcome.
+    /// Begins to open a connection to an instance for an account's callers. An event reports the
+    /// outcome.
     ///
     /// Returns `None` if the instance isn't known.
     pub(super) fn open_connection(
@@ -302,8 +304,9 @@
         Some(id)
     }
 
-    /// Finds the account's idle connection to an instance that needs the fewest commands to restore a
-    /// session's state. Among equals it returns the last used one, so that the others can be closed as idle.
+    /// Finds the account's idle connection to an instance that needs the fewest commands to restore
+    /// a session's state. Among equals it returns the last used one, so that the others can be
+    /// closed as idle.
     pub(super) fn find_idle(
         &self,
         instance: &InstanceName,
--- a/crates/daemon/src/native/primary.rs
+++ b/crates/daemon/src/native/primary.rs
@@ -2,18 +2,19 @@
 //!
 //! # Failure detection
 //!
-//! A primary that runs long statements on all its slots answers nothing for a while, and must not be
-//! replaced for it. So an overdue answer or a failed connection only starts a probe, which is a new
-//! connection. The primary is suspected when it has answered nothing for [`PRIMARY_SILENCE_LIMIT`] and
-//! either the probe isn't open within [`PROBE_TIMEOUT`] or [`FAILED_OPENS_LIMIT`] connections in a row
-//! have failed.
+//! A primary that runs long statements on all its slots answers nothing for a while, and must not
+//! be replaced for it. So an overdue answer or a failed connection only starts a probe, which is a
+//! new connection. The primary is suspected when it has answered nothing for
+//! [`PRIMARY_SILENCE_LIMIT`] and either the probe isn't open within [`PROBE_TIMEOUT`] or
+//! [`FAILED_OPENS_LIMIT`] connections in a row have failed.
 //!
 //! # Replacement
 //!
-//! The state machine is [`PrimaryReplacement`](ragwort_control::PrimaryReplacement): it collects the
-//! instances' reports, chooses the one that has received most, obtains a fencing token from the control
-//! VMs and orders the promotion. This module performs its actions. A replacement has succeeded only when
-//! an instance reports that it is the primary, since an order may also take effect late or not at all.
+//! The state machine is [`PrimaryReplacement`](ragwort_control::PrimaryReplacement): it collects
+//! the instances' reports, chooses the one that has received most, obtains a fencing token from the
+//! control VMs and orders the promotion. This module performs its actions. A replacement has
+//! succeeded only when an instance reports that it is the primary, since an order may also take
+//! effect late or not at all.
 
 use super::NativeNotice;
 use super::NativeTask;
@@ -48,28 +49,29 @@
 use tokio::time::Instant;
 use tokio::time::timeout;
 
-/// A primary with outstanding answers that has sent nothing for this long is probed by a new connection.
-/// A statement runs for 3 to 110 ms, so several slow ones in a row usually stay below it.
+/// A primary with outstanding answers that has sent nothing for this long is probed by a new
+/// connection. A statement runs for 3 to 110 ms, so several slow ones in a row usually stay below
+/// it.
 const PRIMARY_SILENCE_LIMIT: Duration = Duration::from_millis(200);
 
 /// Time in which a probe's connection must be open. Opening one takes 12 ms and two round trips.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Number of failed connections in a row after which a primary is taken for dead. A single one may have
-/// coincided with a restart.
+/// Number of failed connections in a row after which a primary is taken for dead. A single one may
+/// have coincided with a restart.
 const FAILED_OPENS_LIMIT: u32 = 2;
 
-/// How long a replacement waits for a candidate that holds all acknowledged writes, when the primary is
-/// dead. Log entries in transit arrive within milliseconds; others never arrive.
+/// How long a replacement waits for a candidate that holds all acknowledged writes, when the
+/// primary is dead. Log entries in transit arrive within milliseconds; others never arrive.
 const CATCH_UP_LIMIT_DEAD: Duration = Duration::from_millis(200);
 
-/// How long a replacement waits for a candidate that holds all acknowledged writes, when the primary is
-/// leaving and can still send what is missing.
+/// How long a replacement waits for a candidate that holds all acknowledged writes, when the
+/// primary is leaving and can still send what is missing.
 const CATCH_UP_LIMIT_LEAVING: Duration = Duration::from_millis(1_500);
 
-/// Time limit for the reply to a promotion order. Orders are answered within 20 ms or not at all, and an
-/// unanswered one may take effect many seconds later. Waiting longer would leave the group without a
-/// primary until the next order, 2.5 s later.
+/// Time limit for the reply to a promotion order. Orders are answered within 20 ms or not at all,
+/// and an unanswered one may take effect many seconds later. Waiting longer would leave the group
+/// without a primary until the next order, 2.5 s later.
 const PROMOTION_ORDER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Estimated duration of a promotion before one was measured. Databases take 600 to 1,000 ms.
@@ -151,8 +153,8 @@
         )
     }
 
-    /// Starts the validation of a connection by a reset, which takes no slot of the endpoint. It clears the
-    /// connection's session state.
+    /// Starts the validation of a connection by a reset, which takes no slot of the endpoint. It
+    /// clears the connection's session state.
     pub(super) fn start_validation(&mut self, id: LinkId) -> bool {
         let limit = Duration::from_millis(self.context.settings.timing.probe_timeout_ms * 2);
         let ordered = self.send_internal(
@@ -221,8 +223,8 @@
         leading.is_some_and(|(primary, _)| primary == instance)
     }
 
-    /// Applies the instances' roles: adopts a new primary, and updates the scheduler, the replacement and
-    /// the time without a primary.
+    /// Applies the instances' roles: adopts a new primary, and updates the scheduler, the
+    /// replacement and the time without a primary.
     pub(super) fn apply_roles(&mut self) {
         let now = self.now();
         let found = self.roles.primary();
@@ -244,8 +246,8 @@
                     .since()
                     .map_or(0, |since| now.since(since).as_millis()),
             );
-            // Replicas serve no reads before the start position is known: they could lack writes that a
-            // former leaseholder acknowledged.
+            // Replicas serve no reads before the start position is known: they could lack writes
+            // that a former leaseholder acknowledged.
             self.history.begin(start);
             self.update_promotion_time(now);
             // The promotion may have rolled back positions that replicas had reported.
@@ -300,7 +302,8 @@
         self.report_positions();
     }
 
-    /// Returns the connection limit of an endpoint: the group's configured one, or else the announced one.
+    /// Returns the connection limit of an endpoint: the group's configured one, or else the
+    /// announced one.
     pub(super) fn connection_limit_of(&self, announcement: &EndpointAnnouncement) -> u32 {
         let view = self.view.borrow();
         let terms = view.copy.group_terms(&self.group);
@@ -314,8 +317,8 @@
         if self.suspect.as_ref() == Some(instance) {
             return EndpointRole::Unusable;
         }
-        // A leaving primary gets no more writes once its replacement has begun: the promotion would lose
-        // what it acknowledged after that.
+        // A leaving primary gets no more writes once its replacement has begun: the promotion would
+        // lose what it acknowledged after that.
         let replaced = self.replacement.replaced() == Some(instance)
             && self.replacement.state() != ReplacementState::Steady;
         let primary_now = self.roles.primary().map(|(instance, _)| instance);
@@ -326,8 +329,8 @@
         }
     }
 
-    /// Passes each instance's position and lag to the scheduler: the newest acknowledged position for the
-    /// primary, estimates for replicas.
+    /// Passes each instance's position and lag to the scheduler: the newest acknowledged position
+    /// for the primary, estimates for replicas.
     pub(super) fn report_positions(&mut self) {
         let now = self.now();
         for instance in self.pool.names() {
@@ -422,8 +425,8 @@
 
     /// Replaces the primary that a former leaseholder noted in the catalog, if it can't be reached.
     ///
-    /// It may have failed together with that leaseholder. Waiting for its announcements would leave the
-    /// group without a primary for twice as long.
+    /// It may have failed together with that leaseholder. Waiting for its announcements would leave
+    /// the group without a primary for twice as long.
     fn check_noted_primary(&mut self, now: ClockTime, noted: &InstanceName) {
         let Some(endpoint) = self.pool.endpoint(noted) else {
             return;
@@ -446,8 +449,8 @@
         }
     }
 
-    /// Passes the time at which a primary is expected to the scheduler, which refuses writes with an
-    /// earlier deadline at once.
+    /// Passes the time at which a primary is expected to the scheduler, which refuses writes with
+    /// an earlier deadline at once.
     pub(super) fn update_primary_forecast(&mut self) {
         let now = self.now();
         let due = match (self.primary_absence.since(), self.promotion_ordered_at) {
@@ -462,8 +465,8 @@
         self.scheduler.expect_primary(due);
     }
 
-    /// Updates the estimated duration of promotions by a moving average that halves the weight of older
-    /// ones.
+    /// Updates the estimated duration of promotions by a moving average that halves the weight of
+    /// older ones.
     fn update_promotion_time(&mut self, now: ClockTime) {
         if let Some(ordered) = self.promotion_ordered_at.take() {
             self.promotion_time = (self.promotion_time + now.since(ordered)) / 2;
@@ -529,7 +532,8 @@
         self.replacement.note_requested(now, asked);
     }
 
-    /// Handles the reply to a token request. The token is the revision at which the request was committed.
+    /// Handles the reply to a token request. The token is the revision at which the request was
+    /// committed.
     pub(super) fn handle_number_reply(&mut self, request: &TokenRequest, reply: &CommandReply) {
         let now = self.now();
         let actions = match reply {
@@ -608,7 +612,8 @@
         }
     }
 
-    /// Clears the suspicion of a primary that answers again, unless a promotion was ordered already.
+    /// Clears the suspicion of a primary that answers again, unless a promotion was ordered
+    /// already.
     pub(super) fn clear_suspicion(&mut self) {
         let undone = matches!(
             self.replacement.state(),
--- a/crates/daemon/src/native/ticking.rs
+++ b/crates/daemon/src/native/ticking.rs
@@ -1,5 +1,5 @@
-//! Periodic checks of the leaseholder: idle transactions and connections, silent endpoints, a failed
-//! primary, handover, recorded endpoints and metrics.
+//! Periodic checks of the leaseholder: idle transactions and connections, silent endpoints, a
+//! failed primary, handover, recorded endpoints and metrics.
 
 use super::NativeTask;
 use super::TICK;
@@ -61,18 +61,20 @@
         }
     }
 
-    /// Requests the reports of claimed primaries again whose term isn't known, as a request may be lost.
+    /// Requests the reports of claimed primaries again whose term isn't known, as a request may be
+    /// lost.
     fn request_needed_reports(&mut self) {
         for instance in self.pool.names() {
             self.request_report_if_needed(&instance);
         }
     }
 
-    /// Starts the validation of connections that were idle for long, and closes those that the load doesn't
-    /// need any more.
+    /// Starts the validation of connections that were idle for long, and closes those that the load
+    /// doesn't need any more.
     ///
-    /// A device on the path, such as a firewall, may have dropped the state of an idle connection, which
-    /// then looks open and never answers. The validation finds that before a caller's statement does.
+    /// A device on the path, such as a firewall, may have dropped the state of an idle connection,
+    /// which then looks open and never answers. The validation finds that before a caller's
+    /// statement does.
     fn validate_long_idle_connections(&mut self) {
         let now = self.now();
         let limit = Duration::from_millis(self.context.settings.timing.idle_ping_ms);
@@ -81,7 +83,8 @@
             let idle = own.filter(|(_, one)| one.instance == instance && one.is_idle());
             let idle = idle.filter(|(_, one)| now.since(one.last_used) >= limit);
             let idle: Vec<LinkId> = idle.map(|(id, _)| id).collect();
-            // Statements can't use a connection under validation, so only a part is validated at once.
+            // Statements can't use a connection under validation, so only a part is validated at
+            // once.
             let asked = idle.len().div_ceil(VALIDATION_ROUNDS);
             for id in idle.into_iter().take(asked) {
                 self.close_or_validate(id, &instance);
@@ -91,8 +94,8 @@
 
     fn close_or_validate(&mut self, id: LinkId, instance: &InstanceName) {
         let surplus = self.scheduler.surplus_connections(instance) > 0;
-        // Any account may be the next to call, and each needs a connection of its own, so connections are
-        // kept for longer than the total load requires.
+        // Any account may be the next to call, and each needs a connection of its own, so
+        // connections are kept for longer than the total load requires.
         let unused = self
             .pool
             .connection(id)
@@ -106,8 +109,8 @@
         }
     }
 
-    /// Ends the transactions that were idle for longer than the limit. Each holds one of the endpoint's few
-    /// connections, and its caller may be gone.
+    /// Ends the transactions that were idle for longer than the limit. Each holds one of the
+    /// endpoint's few connections, and its caller may be gone.
     fn end_idle_transactions(&mut self) {
         let now = self.now();
         let limit = self.idle_transaction_limit();
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -34,12 +34,12 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
-/// The maximum number of calls in flight on one link. A gateway multiplexes all its callers over one
-/// link to a leaseholder, so the library's default of 256 would refuse ordinary load.
+/// The maximum number of calls in flight on one link. A gateway multiplexes all its callers over
+/// one link to a leaseholder, so the library's default of 256 would refuse ordinary load.
 const LINK_REQUESTS: usize = 16_384;
 
-/// The maximum size of a message on a link, in bytes. A catalog snapshot of 710 groups and thousands
-/// of contracts takes a few megabytes.
+/// The maximum size of a message on a link, in bytes. A catalog snapshot of 710 groups and
+/// thousands of contracts takes a few megabytes.
 const LINK_MESSAGE_BYTES: u32 = 64 * 1024 * 1024;
 
 /// How long a call may take before its link is checked, and the time between further checks.
--- a/crates/daemon/src/relay_gateways.rs
+++ b/crates/daemon/src/relay_gateways.rs
@@ -7,8 +7,8 @@
 use ragwort_types::VmName;
 use smallvec::SmallVec;
 
-/// The maximum number of gateways that are tried for one statement. One that is cut off as well says
-/// so within a round trip.
+/// The maximum number of gateways that are tried for one statement. One that is cut off as well
+/// says so within a round trip.
 pub(crate) const MAX_RELAY_GATEWAYS: usize = 3;
 
 /// Lists the gateways to try, in order: those of this VM's failure domain first.
--- a/crates/daemon/src/server.rs
+++ b/crates/daemon/src/server.rs
@@ -535,8 +535,8 @@
         {
             return Ok(status);
         }
-        // Only the leader knows the status. It answers `leader_in_force_status` without asking other VMs, so
-        // the calls can't form a loop.
+        // Only the leader knows the status. It answers `leader_in_force_status` without asking
+        // other VMs, so the calls can't form a loop.
         let own = self.settings.listen.peers;
         let others = self.directory.addresses().into_iter();
         for address in others.filter(|address| *address != own) {
--- a/crates/daemon/src/sessions/edge.rs
+++ b/crates/daemon/src/sessions/edge.rs
@@ -27,8 +27,8 @@
 use tokio::time::interval;
 use tokio::time::sleep;
 
-/// The pause after a failed accept. In a process without free file descriptors every accept fails at
-/// once; without a pause the loop would occupy a core and fill the log.
+/// The pause after a failed accept. In a process without free file descriptors every accept fails
+/// at once; without a pause the loop would occupy a core and fill the log.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// The interval of the checks for isolation of this gateway and for changed accounts and contracts.
@@ -56,13 +56,13 @@
     /// Serves callers until `drain` holds true and every connection's task is joined.
     ///
     /// During the drain sessions are closed when they have no open transaction. A transaction still
-    /// open at the drain's time limit is rolled back between two statements. A statement in flight is
-    /// always waited for.
+    /// open at the drain's time limit is rolled back between two statements. A statement in flight
+    /// is always waited for.
     ///
-    /// While this gateway is isolated, without a lease and without a way to any other gateway, sessions
-    /// without an open transaction are closed too, as their statements would be refused until the
-    /// network heals. Callers that reconnect through another gateway stay there, even if the load
-    /// balancer hasn't noticed yet.
+    /// While this gateway is isolated, without a lease and without a way to any other gateway,
+    /// sessions without an open transaction are closed too, as their statements would be refused
+    /// until the network heals. Callers that reconnect through another gateway stay there, even if
+    /// the load balancer hasn't noticed yet.
     pub async fn run(self, drain: watch::Receiver<bool>) {
         let (signals, _) = watch::channel(SessionSignals {
             drain: DrainStage::Serve,
@@ -108,7 +108,8 @@
         log_event!(Level::Info, "callers_drained");
     }
 
-    /// Notifies sessions of changed accounts or contracts, so that each checks its caller's admission.
+    /// Notifies sessions of changed accounts or contracts, so that each checks its caller's
+    /// admission.
     fn publish_admission_changes(&self, signals: &watch::Sender<SessionSignals>) {
         let present = self.service.admission_changes();
         signals.send_if_modified(|signals| {
@@ -116,7 +117,8 @@
         });
     }
 
-    /// Starts or stops closing idle sessions, as this gateway becomes isolated or reaches others again.
+    /// Starts or stops closing idle sessions, as this gateway becomes isolated or reaches others
+    /// again.
     fn update_isolation(&self, signals: &watch::Sender<SessionSignals>, connections: usize) {
         let wanted = match self.service.should_move_sessions(self.isolation_limit) {
             true => DrainStage::EndIdle,
--- a/crates/daemon/src/sessions/mod.rs
+++ b/crates/daemon/src/sessions/mod.rs
@@ -3,8 +3,8 @@
 //!
 //! Sessions share the connections to endpoints, so a session's state is kept in the gateway: its
 //! values, its prepared statements, its transaction, and the position of its last write. [`state`]
-//! holds it and decides how each statement is executed, without I/O. [`edge`] accepts connections and
-//! runs one task for each.
+//! holds it and decides how each statement is executed, without I/O. [`edge`] accepts connections
+//! and runs one task for each.
 
 pub mod edge;
 mod session;
@@ -64,7 +64,8 @@
         key: &AccountKey,
     ) -> Result<SessionCaller, SessionRefusal>;
 
-    /// Returns whether the accounts and keys in force still allow a caller that was admitted earlier.
+    /// Returns whether the accounts and keys in force still allow a caller that was admitted
+    /// earlier.
     fn still_admits(&self, database: &CustomerName, caller: &SessionCaller) -> bool;
 
     /// Returns the number of changes so far of the accounts and contracts that decide on admission.
@@ -73,8 +74,8 @@
     /// Records the end of an admitted session; called exactly once for each.
     fn release(&self, database: &CustomerName);
 
-    /// Returns whether this gateway has been isolated for `notice`, without a lease and without a way to
-    /// any other gateway, so that sessions should move to another one.
+    /// Returns whether this gateway has been isolated for `notice`, without a lease and without a
+    /// way to any other gateway, so that sessions should move to another one.
     fn should_move_sessions(&self, notice: Duration) -> bool;
 
     /// Returns the group that serves a database at present.
--- a/crates/daemon/src/sessions/session.rs
+++ b/crates/daemon/src/sessions/session.rs
@@ -43,8 +43,8 @@
 /// The buffer space reserved for one read, in bytes. Statements take a few hundred bytes.
 const READ_BYTES: usize = 1_024;
 
-/// The maximum time that a new session waits for a starting gateway. First leases arrive after 0.5 s;
-/// callers give up an opening after 2 s, or earlier by deadlines of their own.
+/// The maximum time that a new session waits for a starting gateway. First leases arrive after 0.5
+/// s; callers give up an opening after 2 s, or earlier by deadlines of their own.
 const START_WAIT_LIMIT: Duration = Duration::from_millis(800);
 
 /// The interval at which a waiting session retries its admission.
@@ -110,9 +110,9 @@
 
     /// Admits the session, and retries while the gateway is starting.
     ///
-    /// After a power loss of all gateways, callers reconnect as soon as the gateways listen, which is
-    /// some hundred milliseconds before the first leases. If they were refused then, they would use up
-    /// their attempts on every gateway shortly before they could be served.
+    /// After a power loss of all gateways, callers reconnect as soon as the gateways listen, which
+    /// is some hundred milliseconds before the first leases. If they were refused then, they would
+    /// use up their attempts on every gateway shortly before they could be served.
     async fn admit(
         &self,
         database: &CustomerName,
@@ -395,7 +395,8 @@
                 self.fill().await?;
                 continue;
             }
-            // The rest of a message has a time limit, as an incomplete one occupies a connection and memory.
+            // The rest of a message has a time limit, as an incomplete one occupies a connection
+            // and memory.
             let limit = self.limits.statement;
             let filled = timeout(limit, self.fill()).await;
             filled.map_err(|_| SocketEnd::Slow)??;
--- a/crates/daemon/src/sessions/state.rs
+++ b/crates/daemon/src/sessions/state.rs
@@ -32,7 +32,8 @@
 use std::collections::HashMap;
 
 /// The maximum number of values that a session may set, and of statements that it may prepare.
-/// Values are sent along with every statement; prepared statements are kept on endpoint connections.
+/// Values are sent along with every statement; prepared statements are kept on endpoint
+/// connections.
 const MAX_NAMES: usize = 1_024;
 
 /// How a statement is executed.
@@ -55,8 +56,8 @@
     pub text: String,
     /// The part of the session's state that is sent with it.
     pub context: SessionContext,
-    /// Whether it is the rollback that answers the COMMIT of a failed transaction, so that the caller
-    /// is sent an error even if it succeeds.
+    /// Whether it is the rollback that answers the COMMIT of a failed transaction, so that the
+    /// caller is sent an error even if it succeeds.
     answers_failed_commit: bool,
 }
 
@@ -66,7 +67,8 @@
     /// No transaction is open.
     #[default]
     None,
-    /// BEGIN was answered, but no connection is held yet; the first statement opens the transaction.
+    /// BEGIN was answered, but no connection is held yet; the first statement opens the
+    /// transaction.
     Deferred(TransactionMode),
     /// The transaction holds a connection.
     Open(TransactionId),
@@ -347,7 +349,8 @@
             TransactionStep::Begin(id) | TransactionStep::Within(id) => {
                 TransactionProgress::Failed(held(id))
             }
-            // The transaction is over for the caller; the gateway rolls back one that is still open.
+            // The transaction is over for the caller; the gateway rolls back one that is still
+            // open.
             TransactionStep::Commit(_) | TransactionStep::Rollback(_) => TransactionProgress::None,
         };
     }
--- a/crates/daemon/src/statements/links.rs
+++ b/crates/daemon/src/statements/links.rs
@@ -1,10 +1,10 @@
 //! The client side of statement links: a gateway's connections to leaseholders.
 //!
-//! A call that was never written to a connection has not run, and its statement can be sent again. A
-//! call whose connection ended before the reply may have run. The module therefore avoids writing to a
-//! peer that doesn't respond: a new connection must answer a ping before it carries calls, calls are
-//! refused at once while there is no connection, and a connection that owes replies is pinged and
-//! closed if nothing arrives.
+//! A call that was never written to a connection has not run, and its statement can be sent again.
+//! A call whose connection ended before the reply may have run. The module therefore avoids writing
+//! to a peer that doesn't respond: a new connection must answer a ping before it carries calls,
+//! calls are refused at once while there is no connection, and a connection that owes replies is
+//! pinged and closed if nothing arrives.
 
 use super::MAX_FRAMES_PER_BATCH;
 use super::MAX_UNSENT_BYTES;
@@ -47,12 +47,12 @@
 /// The age of unacknowledged bytes at which a connection is closed.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The pause between two attempts to connect to an unreachable VM. A killed process is back after about
-/// a second; until then each attempt costs two packets.
+/// The pause between two attempts to connect to an unreachable VM. A killed process is back after
+/// about a second; until then each attempt costs two packets.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(50);
 
-/// How long after the last call the link keeps trying to connect to an unreachable VM. By the end of
-/// this time statements go to another VM.
+/// How long after the last call the link keeps trying to connect to an unreachable VM. By the end
+/// of this time statements go to another VM.
 const RECONNECT_WINDOW: Duration = Duration::from_secs(5);
 
 /// The result of a call.
@@ -389,7 +389,8 @@
         }
     }
 
-    /// Checks how long the other side has been silent while it owes replies, and pings it if need be.
+    /// Checks how long the other side has been silent while it owes replies, and pings it if need
+    /// be.
     ///
     /// Returns the time until the next check; `None` if no reply is due.
     ///
--- a/crates/daemon/src/statements/server.rs
+++ b/crates/daemon/src/statements/server.rs
@@ -1,8 +1,8 @@
 //! The server side of statement links: runs or relays the statements that gateways send.
 //!
-//! Statements of one connection run concurrently, and their replies are sent in the order of completion.
-//! On shutdown the server asks the gateway to close the link and answers all calls that it has read, so
-//! that no caller is left in doubt about a statement that never ran.
+//! Statements of one connection run concurrently, and their replies are sent in the order of
+//! completion. On shutdown the server asks the gateway to close the link and answers all calls that
+//! it has read, so that no caller is left in doubt about a statement that never ran.
 
 use super::MAX_FRAMES_PER_BATCH;
 use super::MAX_UNSENT_BYTES;
@@ -33,7 +33,8 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
-/// The maximum number of statements in flight on one connection. Above it no further frames are read.
+/// The maximum number of statements in flight on one connection. Above it no further frames are
+/// read.
 const MAX_IN_FLIGHT: usize = 16_384;
 
 /// The age of unacknowledged bytes at which a connection is closed, as its gateway is unreachable.
@@ -49,7 +50,8 @@
 /// Runs the statements that gateways send.
 #[async_trait]
 pub trait StatementRunner: Send + Sync {
-    /// Runs a statement on this VM, the group's leaseholder; `None` if it may have run but has no reply.
+    /// Runs a statement on this VM, the group's leaseholder; `None` if it may have run but has no
+    /// reply.
     async fn run_locally(&self, request: StatementRequest) -> Option<StatementReply>;
 
     /// Relays a statement to its leaseholder.
@@ -89,8 +91,8 @@
             }
         }
     }
-    // New connections are refused at once from here on. Otherwise a gateway would wait for the answer to
-    // its first ping.
+    // New connections are refused at once from here on. Otherwise a gateway would wait for the
+    // answer to its first ping.
     drop(listener);
     while connections.join_next().await.is_some() {}
 }
@@ -169,8 +171,8 @@
 
     /// Asks the gateway to close the link, and answers calls until it does.
     ///
-    /// If this side closed the connection, the gateway couldn't tell which of its calls had been read,
-    /// and would have to report statements that never ran as in doubt.
+    /// If this side closed the connection, the gateway couldn't tell which of its calls had been
+    /// read, and would have to report statements that never ran as in doubt.
     async fn finish(&mut self) {
         self.queue_frame(&StatementFrame::Stopping);
         if timeout(STOP_TIMEOUT, self.serve()).await.is_err() {
--- a/crates/daemon/tests/callers/faults.rs
+++ b/crates/daemon/tests/callers/faults.rs
@@ -84,8 +84,8 @@
     assert!(bench.service.seen.borrow().cancelled.is_empty());
 }
 
-/// A caller disconnects while its statement waits, which cancels the statement and frees its place in
-/// the queue.
+/// A caller disconnects while its statement waits, which cancels the statement and frees its place
+/// in the queue.
 #[tokio::test]
 async fn caller_that_leaves_cancels_its_statement() {
     let bench = Bench::start(limits()).await;
@@ -101,8 +101,8 @@
     assert_eq!(bench.service.seen.borrow().cancelled.len(), 1);
 }
 
-/// Each case sends invalid bytes, and expects an error with the SQLSTATE, the end of the connection,
-/// and that another caller is still served.
+/// Each case sends invalid bytes, and expects an error with the SQLSTATE, the end of the
+/// connection, and that another caller is still served.
 macro_rules! bad_bytes {
     ($($name:ident: $limits:expr, $bytes:expr => $sqlstate:expr;)*) => {$(
         #[tokio::test]
@@ -146,8 +146,8 @@
     assert_eq!(read_to_end(&mut stream).await, "");
 }
 
-/// A caller doesn't read its answer. Without a time limit the answer would occupy the gateway's memory
-/// for good.
+/// A caller doesn't read its answer. Without a time limit the answer would occupy the gateway's
+/// memory for good.
 #[tokio::test]
 async fn slow_receiver_loses_its_connection() {
     let bench = Bench::start(quick()).await;
@@ -174,8 +174,9 @@
     client.simple_query("select 1").await.unwrap();
 }
 
-/// The gateway is shut down while one caller waits for an answer, one has an open transaction and one
-/// is idle. The first receives its answer, the second can commit, and the third is disconnected.
+/// The gateway is shut down while one caller waits for an answer, one has an open transaction and
+/// one is idle. The first receives its answer, the second can commit, and the third is
+/// disconnected.
 #[tokio::test]
 async fn drain_cuts_nothing_in_flight() {
     let bench = Bench::start(limits()).await;
@@ -201,8 +202,8 @@
     bench.finish().await;
 }
 
-/// A statement sent just as the drain closes its idle session is answered. If the session were closed
-/// at once, the driver would report a closed connection and the outcome would be unknown.
+/// A statement sent just as the drain closes its idle session is answered. If the session were
+/// closed at once, the driver would report a closed connection and the outcome would be unknown.
 #[tokio::test]
 async fn statement_that_crosses_the_drain_is_answered() {
     let bench = Bench::start(limits()).await;
@@ -223,8 +224,8 @@
     bench.finish().await;
 }
 
-/// An idle caller is sent the reason before its connection is closed, so that its pool reconnects to
-/// another gateway.
+/// An idle caller is sent the reason before its connection is closed, so that its pool reconnects
+/// to another gateway.
 #[tokio::test]
 async fn drained_session_is_sent_the_reason() {
     let bench = Bench::start(limits()).await;
@@ -236,8 +237,8 @@
     bench.finish().await;
 }
 
-/// A caller leaves its transaction open while the gateway is shut down. At the drain's time limit the
-/// transaction is rolled back, so that it can't block the shutdown for good.
+/// A caller leaves its transaction open while the gateway is shut down. At the drain's time limit
+/// the transaction is rolled back, so that it can't block the shutdown for good.
 #[tokio::test]
 async fn open_transaction_ends_with_the_drain_limit() {
     let short = CallerLimits {
--- a/crates/daemon/tests/callers/sessions.rs
+++ b/crates/daemon/tests/callers/sessions.rs
@@ -262,8 +262,8 @@
     assert!(bench.service.texts().is_empty());
 }
 
-/// A caller disconnects in the middle of a transaction. Without a rollback the transaction would pin
-/// one of the endpoint's few connections until its deadline.
+/// A caller disconnects in the middle of a transaction. Without a rollback the transaction would
+/// pin one of the endpoint's few connections until its deadline.
 #[tokio::test]
 async fn caller_that_leaves_has_its_transaction_rolled_back() {
     let bench = Bench::start(limits()).await;
@@ -274,8 +274,8 @@
     assert_eq!(steps_of(&bench), ["begin", "rollback"]);
 }
 
-/// Each case is a statement that changes the state of a shared connection, which the next customer on
-/// it would see. It must be refused.
+/// Each case is a statement that changes the state of a shared connection, which the next customer
+/// on it would see. It must be refused.
 macro_rules! unsupported {
     ($($name:ident: $text:expr;)*) => {$(
         #[tokio::test]
--- a/crates/daemon/tests/callers/verdicts.rs
+++ b/crates/daemon/tests/callers/verdicts.rs
@@ -46,8 +46,8 @@
     transaction_lost: TransactionLost => "40000";
 }
 
-/// The endpoint is lost after a write was sent to it. A caller that took this for a refusal would send
-/// the write again, and it could be applied twice.
+/// The endpoint is lost after a write was sent to it. A caller that took this for a refusal would
+/// send the write again, and it could be applied twice.
 #[tokio::test]
 async fn unknown_outcome_is_reported_as_such() {
     let bench = Bench::start(limits()).await;
@@ -64,8 +64,8 @@
     assert_eq!(error.hint(), None);
 }
 
-/// The leaseholder is lost during a commit. The driver sends no rollback after a failed commit, so the
-/// session must accept further statements at once.
+/// The leaseholder is lost during a commit. The driver sends no rollback after a failed commit, so
+/// the session must accept further statements at once.
 #[tokio::test]
 async fn commit_in_doubt_ends_the_transaction() {
     let bench = Bench::start(limits()).await;
@@ -78,8 +78,8 @@
     client.simple_query("select 1").await.unwrap();
 }
 
-/// The service returns the answer of another statement, as after a mix-up on a connection. The caller
-/// must never receive another caller's rows.
+/// The service returns the answer of another statement, as after a mix-up on a connection. The
+/// caller must never receive another caller's rows.
 #[tokio::test]
 async fn answer_of_another_statement_is_not_passed_on() {
     let bench = Bench::start(limits()).await;
--- a/crates/daemon/tests/components/bench.rs
+++ b/crates/daemon/tests/components/bench.rs
@@ -1,5 +1,5 @@
-//! The test bench of a group: its leaseholder's task, three lab endpoints, two standbys and a control
-//! VM as test doubles, and a catalog that the test publishes itself.
+//! The test bench of a group: its leaseholder's task, three lab endpoints, two standbys and a
+//! control VM as test doubles, and a catalog that the test publishes itself.
 
 use crate::cases::wait_until;
 use crate::peer::FakePeer;
@@ -154,8 +154,8 @@
     }
 }
 
-/// Creates a VM's view of the catalog: the contract, three members with these peer addresses and the
-/// group's record. The VM holds a lease of an hour if `lease` is set.
+/// Creates a VM's view of the catalog: the contract, three members with these peer addresses and
+/// the group's record. The VM holds a lease of an hour if `lease` is set.
 pub fn create_view(addresses: [SocketAddr; 3], record: &GroupRecord, lease: bool) -> MemberView {
     create_view_with(addresses, [None; 3], record, lease)
 }
@@ -319,7 +319,8 @@
 }
 
 impl GroupBench {
-    /// Starts the bench with an announcement timeout of 60 s and waits until the leaseholder serves.
+    /// Starts the bench with an announcement timeout of 60 s and waits until the leaseholder
+    /// serves.
     pub async fn start() -> Self {
         Self::start_with("announce_lost_ms: 60000").await
     }
@@ -395,8 +396,8 @@
     /// the next epoch.
     pub async fn replace_leaseholder(&mut self) {
         self.task.abort();
-        // An aborted task runs on to its next await point. It must be gone before its inbox closes, or
-        // it could still answer its pending statements.
+        // An aborted task runs on to its next await point. It must be gone before its inbox closes,
+        // or it could still answer its pending statements.
         let _ = (&mut self.task).await;
         let previous = self.record.placement.clone();
         self.record = create_record("vm-1", previous.epoch.0 + 1);
@@ -445,7 +446,8 @@
         self.inbox.send(event).await.unwrap();
     }
 
-    /// Waits until the journal is recovered, the leaseholder serves and a connection to the primary is open.
+    /// Waits until the journal is recovered, the leaseholder serves and a connection to the primary
+    /// is open.
     pub async fn wait_serving(&self) {
         loop {
             self.announce_all().await;
@@ -585,8 +587,8 @@
     }
 }
 
-/// Makes the first endpoint the primary of the first term, and the others its replicas, as the record
-/// says.
+/// Makes the first endpoint the primary of the first term, and the others its replicas, as the
+/// record says.
 async fn form_first_term(endpoints: &[LabEndpoint]) {
     for endpoint in endpoints {
         endpoint.shared().instance.fence(FIRST_TERM).await;
--- a/crates/daemon/tests/components/connection.rs
+++ b/crates/daemon/tests/components/connection.rs
@@ -34,33 +34,34 @@
 const SHORT: Duration = Duration::from_millis(100);
 
 failure_cases! {
-    /// An endpoint has died, and another instance of its group listens at its address. A read that was
-    /// routed by the dead instance's position would miss its session's write there. The connection must
-    /// not open.
+    /// An endpoint has died, and another instance of its group listens at its address. A read that
+    /// was routed by the dead instance's position would miss its session's write there. The
+    /// connection must not open.
     connection_to_another_instance_does_not_open => other_instance_case("cases", "cases-2");
     /// An instance of another group listens at the endpoint's address. A statement would run in a
     /// database to which its customer has no access.
     connection_to_another_group_does_not_open => other_instance_case("files", "cases-1");
-    /// The late answer to an earlier statement arrives in place of this statement's own. The caller must
-    /// not get another caller's rows, and the connection is closed.
+    /// The late answer to an earlier statement arrives in place of this statement's own. The caller
+    /// must not get another caller's rows, and the connection is closed.
     answer_of_another_statement_is_not_handed_on => mismatch_case();
-    /// The path to the endpoint has dropped the connection's state: the statement is sent, and nothing
-    /// comes back. The outcome is in doubt at the deadline, and the connection is not reused, because
-    /// the late answer could still arrive on it.
+    /// The path to the endpoint has dropped the connection's state: the statement is sent, and
+    /// nothing comes back. The outcome is in doubt at the deadline, and the connection is not
+    /// reused, because the late answer could still arrive on it.
     silent_connection_is_never_used_again => silent_case();
-    /// The connection breaks while the statement runs. The caller must not be told that it was not run.
+    /// The connection breaks while the statement runs. The caller must not be told that it was not
+    /// run.
     connection_lost_after_the_send_leaves_doubt => lost_case();
-    /// The instance was fenced in favour of a new primary. It refuses without running the statement, so
-    /// the statement may go to the successor.
+    /// The instance was fenced in favour of a new primary. It refuses without running the
+    /// statement, so the statement may go to the successor.
     fenced_endpoint_refuses_without_running => fenced_case();
-    /// A cancel request may reach the endpoint after its statement has ended, and would then cancel the
-    /// next one. So no statement follows a cancelled one on its connection.
+    /// A cancel request may reach the endpoint after its statement has ended, and would then cancel
+    /// the next one. So no statement follows a cancelled one on its connection.
     cancelled_connection_is_not_used_again => cancel_case();
-    /// The path to the endpoint has dropped an idle connection. The ping detects it, so that no statement
-    /// spends its deadline on it.
+    /// The path to the endpoint has dropped an idle connection. The ping detects it, so that no
+    /// statement spends its deadline on it.
     idle_ping_finds_a_dead_connection => ping_case();
-    /// A statement is queued on a connection whose ping is about to fail. None of it is sent, so it may
-    /// run elsewhere, and its caller isn't left in doubt.
+    /// A statement is queued on a connection whose ping is about to fail. None of it is sent, so it
+    /// may run elsewhere, and its caller isn't left in doubt.
     statement_behind_a_lost_ping_was_not_sent => behind_ping_case();
     /// A driver prepares a statement that the database refuses as invalid. The caller gets the
     /// database's own error, nothing runs, and the connection stays usable.
@@ -68,11 +69,11 @@
     /// A description gets no answer. It occupies its connection no longer than its limit, and the
     /// connection isn't used again.
     silent_description_ends_the_connection => silent_describe_case();
-    /// A read by the extended protocol finds no row. Its answer must be an empty row set with its columns,
-    /// and a write's row count must not be lost.
+    /// A read by the extended protocol finds no row. Its answer must be an empty row set with its
+    /// columns, and a write's row count must not be lost.
     empty_answer_keeps_its_columns => empty_answer_case();
-    /// The database answers a prepared read with numbers and booleans in binary format. The caller must
-    /// get the same texts as by the simple protocol, and not be left in doubt.
+    /// The database answers a prepared read with numbers and booleans in binary format. The caller
+    /// must get the same texts as by the simple protocol, and not be left in doubt.
     typed_answer_is_read_as_text => typed_answer_case();
 }
 
--- a/crates/daemon/tests/components/control.rs
+++ b/crates/daemon/tests/components/control.rs
@@ -18,14 +18,15 @@
 use tokio::sync::oneshot;
 use tokio::sync::watch;
 
-/// The heartbeat interval, in milliseconds. A heartbeat is held for up to half of it, which leaves a slow
-/// machine enough time to elect a leader.
+/// The heartbeat interval, in milliseconds. A heartbeat is held for up to half of it, which leaves
+/// a slow machine enough time to elect a leader.
 const LONG_HEARTBEAT_MS: u64 = 15_000;
 
 failure_cases! {
-    /// All VMs restart after a power failure, and a member's heartbeat arrives before a leader is elected.
-    /// It is held until there is a leader and the new process is admitted. If it were refused instead,
-    /// the member would lose a retry interval for each of the two steps and refuse its callers meanwhile.
+    /// All VMs restart after a power failure, and a member's heartbeat arrives before a leader is
+    /// elected. It is held until there is a leader and the new process is admitted. If it were
+    /// refused instead, the member would lose a retry interval for each of the two steps and refuse
+    /// its callers meanwhile.
     heartbeat_waits_for_a_leader_and_its_admission => waiting_heartbeat_case();
 }
 
--- a/crates/daemon/tests/components/disk.rs
+++ b/crates/daemon/tests/components/disk.rs
@@ -22,11 +22,11 @@
     /// The VM loses power in the middle of a record. The complete records before it are kept, and
     /// records that are appended after the truncation follow them without a gap.
     torn_tail_is_cut_and_appended_after => torn_tail_case;
-    /// The VM loses power during a rewrite of the log, which leaves a partial new file beside the old
-    /// one. The old log stays valid, and the partial file doesn't disturb a later rewrite.
+    /// The VM loses power during a rewrite of the log, which leaves a partial new file beside the
+    /// old one. The old log stays valid, and the partial file doesn't disturb a later rewrite.
     interrupted_rewrite_leaves_the_old_log => leftover_case;
-    /// After a rewrite the process appends to the new file. Votes and entries that were appended to the
-    /// old one would be lost at the next start.
+    /// After a rewrite the process appends to the new file. Votes and entries that were appended to
+    /// the old one would be lost at the next start.
     appends_after_a_rewrite_are_kept => rewrite_case;
     /// A disk was replaced by an empty one, on which the data folder doesn't exist yet.
     missing_folder_is_an_empty_log => missing_case;
--- a/crates/daemon/tests/components/gateway.rs
+++ b/crates/daemon/tests/components/gateway.rs
@@ -39,7 +39,8 @@
 /// A lease so short that a takeover ends well before a statement's deadline of 50 s.
 const USUAL_LEASE: Duration = Duration::from_secs(20);
 
-/// A lease with which a takeover ends after a statement's deadline of 50 s, but a handover before it.
+/// A lease with which a takeover ends after a statement's deadline of 50 s, but a handover before
+/// it.
 const LONG_LEASE: Duration = Duration::from_secs(40);
 
 /// The verdict of a statement that ran.
@@ -49,15 +50,16 @@
 const DOUBT: RequestVerdict = RequestVerdict::MayHaveRun(DoubtCause::LeaseholderLost);
 
 failure_cases! {
-    /// The leaseholder's VM is down, and no successor can take over before the statement's deadline. The
-    /// caller is refused at once and told when to retry, instead of waiting until the deadline.
+    /// The leaseholder's VM is down, and no successor can take over before the statement's
+    /// deadline. The caller is refused at once and told when to retry, instead of waiting until the
+    /// deadline.
     refusal_comes_at_once_when_the_deadline_is_too_near => refuse_case();
-    /// The leaseholder's VM is down, and its successor takes over before the deadline. The statement was
-    /// not handed over, so it goes to the successor after a short wait.
+    /// The leaseholder's VM is down, and its successor takes over before the deadline. The
+    /// statement was not handed over, so it goes to the successor after a short wait.
     statement_goes_to_the_successor_within_its_deadline => successor_case();
-    /// The group was handed over, and its next leaseholder learns of it with its next heartbeat. The
-    /// statement has time to wait for that; a refusal would make every planned handover visible to
-    /// callers.
+    /// The group was handed over, and its next leaseholder learns of it with its next heartbeat.
+    /// The statement has time to wait for that; a refusal would make every planned handover visible
+    /// to callers.
     handover_is_waited_for => handover_case();
     /// The leaseholder is lost while it runs a write without a key. The write may have run, and no
     /// successor could recognise a resend, so it isn't sent twice.
@@ -70,17 +72,19 @@
     /// The reply to a keyed write is lost. The successor recognises the resend by its key.
     lost_reply_of_a_keyed_write_is_sent_again =>
         resend_case(RequestBuilder::new(GRANT, "append case-7 grant").key(RequestKey::fresh()));
-    /// The successor refuses the resend of a write. The first attempt may have run all the same: a caller
-    /// that is told otherwise would send the write again, and it would take effect twice.
+    /// The successor refuses the resend of a write. The first attempt may have run all the same: a
+    /// caller that is told otherwise would send the write again, and it would take effect twice.
     refused_resend_of_a_write_leaves_doubt => refused_resend_case(GRANT, true);
-    /// The successor refuses the resend of a read. Reads have no effect, so the refusal may be passed on.
+    /// The successor refuses the resend of a read. Reads have no effect, so the refusal may be
+    /// passed on.
     refused_resend_of_a_read_was_not_run => refused_resend_case(STATUS, false);
     /// The leaseholder of an open transaction is gone before the next statement. The transaction is
     /// rolled back, and the caller is told at once.
     transaction_of_an_unreachable_leaseholder_is_lost => lost_transaction_case();
     /// The leaseholder is lost during a commit.
     lost_reply_of_a_commit_leaves_doubt => lost_commit_case();
-    /// The path between this VM and the leaseholder is cut, but a standby still reaches the leaseholder.
+    /// The path between this VM and the leaseholder is cut, but a standby still reaches the
+    /// leaseholder.
     unreachable_leaseholder_is_reached_through_a_standby => relay_case();
     /// The standby that relays a write is lost; it may have passed the write on.
     statement_lost_with_its_relay_leaves_doubt => lost_relay_case();
@@ -98,8 +102,8 @@
 }
 
 impl GatewayBench {
-    /// Creates a gateway whose catalog has `vm-1`, `vm-2` and `vm-3` at these peer addresses and `vm-1` as
-    /// leaseholder.
+    /// Creates a gateway whose catalog has `vm-1`, `vm-2` and `vm-3` at these peer addresses and
+    /// `vm-1` as leaseholder.
     fn new(addresses: [SocketAddr; 3], lease: Duration) -> Self {
         let view = create_view(addresses, &create_record("vm-1", 1), true);
         let (view, receiver) = watch::channel(view);
--- a/crates/daemon/tests/components/leaseholder.rs
+++ b/crates/daemon/tests/components/leaseholder.rs
@@ -1,4 +1,5 @@
-//! A group's leaseholder under faults: request keys, majorities, transactions and reads from replicas.
+//! A group's leaseholder under faults: request keys, majorities, transactions and reads from
+//! replicas.
 
 use crate::bench::FIRST_TERM;
 use crate::bench::FRESH;
@@ -28,27 +29,29 @@
 const WRITTEN: RequestVerdict = RequestVerdict::Ran(StatementAnswer::Done(1));
 
 failure_cases! {
-    /// A caller resends a keyed write while its first attempt still runs. Every attempt must get the
-    /// verdict of the first, and the write must run once.
+    /// A caller resends a keyed write while its first attempt still runs. Every attempt must get
+    /// the verdict of the first, and the write must run once.
     resend_of_a_running_write_gets_its_verdict => resend_running_case();
     /// The answer to a keyed write was lost on its way back, and the caller resends it later.
     resend_of_a_decided_write_gets_its_verdict => resend_decided_case();
     /// A standby does not answer, so it may lack the write's key. If the leaseholder died now, its
-    /// successor would run a resend a second time. So the write is not dispatched, its caller is told
-    /// that it was not run, and a resend runs once the standby is back.
+    /// successor would run a resend a second time. So the write is not dispatched, its caller is
+    /// told that it was not run, and a resend runs once the standby is back.
     key_is_held_by_all_standbys_before_dispatch => unreplicated_key_case();
-    /// A standby has moved, and another VM answers at its former address. If that VM accepted the key,
-    /// the leaseholder would dispatch a write that its standby doesn't know, and after the next failures
-    /// a resend would run again. Nothing is dispatched until the standby itself holds the key.
+    /// A standby has moved, and another VM answers at its former address. If that VM accepted the
+    /// key, the leaseholder would dispatch a write that its standby doesn't know, and after the
+    /// next failures a resend would run again. Nothing is dispatched until the standby itself holds
+    /// the key.
     key_is_not_held_by_another_vm_at_the_address => misdirected_key_case();
-    /// Replication has stopped. The primary has committed a write, but may be the only instance that
-    /// holds it; if it died, the write would be lost. The caller must not be told that it succeeded.
+    /// Replication has stopped. The primary has committed a write, but may be the only instance
+    /// that holds it; if it died, the write would be lost. The caller must not be told that it
+    /// succeeded.
     write_without_a_majority_is_in_doubt => cut_replication_case();
-    /// Replication has been cut for longer than a write's deadline. A further write could only end in
-    /// doubt, so it is refused at once without being run.
+    /// Replication has been cut for longer than a write's deadline. A further write could only end
+    /// in doubt, so it is refused at once without being run.
     write_is_refused_while_the_replicas_are_far_behind => refused_while_behind_case();
-    /// The caller resends a keyed write that no majority confirmed in time. The outcome of the first
-    /// attempt is unknown, and the leaseholder must not run the write again to find out.
+    /// The caller resends a keyed write that no majority confirmed in time. The outcome of the
+    /// first attempt is unknown, and the leaseholder must not run the write again to find out.
     resend_of_a_doubtful_write_does_not_run => doubtful_resend_case();
     /// Two callers work at once, one of them in a transaction. The other one must not see its
     /// uncommitted writes, nor commit them with a statement of its own.
@@ -58,51 +61,53 @@
     connection_lost_within_a_transaction => lost_transaction_case();
     /// The connection breaks during the commit, which may have taken effect.
     connection_lost_during_commit_leaves_doubt => lost_commit_case();
-    /// A statement of a transaction runs for longer than the idle limit of transactions. It is answered,
-    /// and the transaction can commit.
+    /// A statement of a transaction runs for longer than the idle limit of transactions. It is
+    /// answered, and the transaction can commit.
     long_statement_does_not_make_its_transaction_idle => long_statement_case();
-    /// A caller opens a transaction and disappears. The transaction occupies one of few connections, so
-    /// it is ended after the idle limit; a caller that comes back is told that it is lost.
+    /// A caller opens a transaction and disappears. The transaction occupies one of few
+    /// connections, so it is ended after the idle limit; a caller that comes back is told that it
+    /// is lost.
     idle_transaction_is_ended => idle_transaction_case();
-    /// Two long statements are cancelled, which closes their connections. The writes queued behind them
-    /// must run; none may be refused because a closing connection was counted as free.
+    /// Two long statements are cancelled, which closes their connections. The writes queued behind
+    /// them must run; none may be refused because a closing connection was counted as free.
     waiting_writes_outlive_cancelled_connections => cancelled_case();
-    /// An endpoint's announcements are lost several times in a row. Each time it is taken out of use and
-    /// comes back. Its earlier connections must not stay open beside the new ones, or they would use up
-    /// the endpoint's connection limit.
+    /// An endpoint's announcements are lost several times in a row. Each time it is taken out of
+    /// use and comes back. Its earlier connections must not stay open beside the new ones, or they
+    /// would use up the endpoint's connection limit.
     flapping_endpoint_does_not_accumulate_connections => flapping_case();
-    /// An endpoint is taken out of use while a transaction is open on it. The transaction ends with one
-    /// verdict, and its connection is closed.
+    /// An endpoint is taken out of use while a transaction is open on it. The transaction ends with
+    /// one verdict, and its connection is closed.
     transaction_ends_when_its_endpoint_is_taken_out => taken_out_case();
-    /// A session writes while replication is cut, and reads the same key. It must see its own write,
-    /// although a replica's older answer would do for other sessions.
+    /// A session writes while replication is cut, and reads the same key. It must see its own
+    /// write, although a replica's older answer would do for other sessions.
     own_write_is_read_although_replicas_lag => own_write_case();
     /// A replica lags by more than a read's maximum age, so the primary serves the read.
     read_goes_to_a_replica_only_within_its_age => aged_read_case();
-    /// A write's deadline passes while the primary still runs it, and replication is cut. The leaseholder
-    /// doesn't know when the write commits. A read with a maximum age of 50 ms, sent 100 ms later, must
-    /// not be served by a replica as if nothing had been written since.
+    /// A write's deadline passes while the primary still runs it, and replication is cut. The
+    /// leaseholder doesn't know when the write commits. A read with a maximum age of 50 ms, sent
+    /// 100 ms later, must not be served by a replica as if nothing had been written since.
     write_in_doubt_makes_no_replica_fresh => doubtful_write_case();
-    /// A write's deadline passes while the primary still runs it, replication is cut, and the leaseholder
-    /// dies. The successor doesn't know of the write, which commits later. If it assumed that the
-    /// primary's position stands still, it would take the replicas for fresh, and a read with a maximum
-    /// age of 50 ms would miss a write that is a second old.
+    /// A write's deadline passes while the primary still runs it, replication is cut, and the
+    /// leaseholder dies. The successor doesn't know of the write, which commits later. If it
+    /// assumed that the primary's position stands still, it would take the replicas for fresh, and
+    /// a read with a maximum age of 50 ms would miss a write that is a second old.
     write_in_doubt_is_not_forgotten_by_a_takeover => doubt_after_takeover_case();
-    /// A leaseholder has just started. Agents hold its first status requests until something changes, so
-    /// the answers are as old as a short write's deadline when they arrive. All instances hold the same
-    /// log, yet a write after a takeover was refused: `lag=409 ms known=409 ms`, with all three at 1/1 in
-    /// one observation of 409 ms before. The age of a status must not count as lag.
+    /// A leaseholder has just started. Agents hold its first status requests until something
+    /// changes, so the answers are as old as a short write's deadline when they arrive. All
+    /// instances hold the same log, yet a write after a takeover was refused: `lag=409 ms known=409
+    /// ms`, with all three at 1/1 in one observation of 409 ms before. The age of a status must not
+    /// count as lag.
     old_status_is_no_sign_of_replicas_behind => old_status_case();
-    /// One write runs long at the primary, whose position isn't reported meanwhile. The replicas hold the
-    /// whole log. Another short write must not be refused as if they were behind.
+    /// One write runs long at the primary, whose position isn't reported meanwhile. The replicas
+    /// hold the whole log. Another short write must not be refused as if they were behind.
     long_write_is_no_sign_of_replicas_behind => long_write_case();
-    /// A replica has died, and an instance of another group listens at its agent's address. It follows a
-    /// term of the same number and has a long log. If it counted as the replica, it would complete a
-    /// majority, and a write that only the primary holds would be acknowledged.
+    /// A replica has died, and an instance of another group listens at its agent's address. It
+    /// follows a term of the same number and has a long log. If it counted as the replica, it would
+    /// complete a majority, and a write that only the primary holds would be acknowledged.
     agent_of_another_group_makes_no_majority => foreign_agent_case();
-    /// As above, but the other group's instance is the primary of an earlier term. The leaseholder orders
-    /// replicas of that term to follow its primary. If the other group's primary obeyed, it would discard
-    /// its log and accept no more writes.
+    /// As above, but the other group's instance is the primary of an earlier term. The leaseholder
+    /// orders replicas of that term to follow its primary. If the other group's primary obeyed, it
+    /// would discard its log and accept no more writes.
     agent_of_another_group_gets_no_orders => foreign_order_case();
 }
 
@@ -474,7 +479,8 @@
 async fn doubt_after_takeover_case() {
     let mut bench = leave_write_in_doubt().await;
     bench.replace_leaseholder().await;
-    // From here on the agents' first answers to the successor are older than the read's maximum age.
+    // From here on the agents' first answers to the successor are older than the read's maximum
+    // age.
     sleep(Duration::from_millis(600)).await;
     let read = RequestBuilder::new(STATUS, "get case-7")
         .session("other")
--- a/crates/daemon/tests/components/leases.rs
+++ b/crates/daemon/tests/components/leases.rs
@@ -10,14 +10,14 @@
 use ragwort_types::RequestVerdict;
 
 failure_cases! {
-    /// The VM is cut off from the control VMs while a write runs. Its successor may have promoted another
-    /// instance before the endpoint answers, so the write must not be acknowledged.
+    /// The VM is cut off from the control VMs while a write runs. Its successor may have promoted
+    /// another instance before the endpoint answers, so the write must not be acknowledged.
     write_that_ends_after_the_lease_is_in_doubt => running_write_case();
-    /// The lease ends while a read that accepts no staleness runs. Its answer may be older than a write
-    /// that the successor has acknowledged meanwhile, so it is not returned.
+    /// The lease ends while a read that accepts no staleness runs. Its answer may be older than a
+    /// write that the successor has acknowledged meanwhile, so it is not returned.
     fresh_read_that_ends_after_the_lease_is_not_answered => running_read_case();
-    /// Statements wait for a slot when the lease ends. None may reach the endpoint, where the successor's
-    /// statements may already run; their callers are told that they were not run.
+    /// Statements wait for a slot when the lease ends. None may reach the endpoint, where the
+    /// successor's statements may already run; their callers are told that they were not run.
     nothing_is_dispatched_after_the_lease => waiting_case();
 }
 
--- a/crates/daemon/tests/components/limits.rs
+++ b/crates/daemon/tests/components/limits.rs
@@ -24,9 +24,9 @@
 
 failure_cases! {
     /// All VMs restart at once, and one of them learns that another VM leads a group before that VM
-    /// itself does. The other VM doesn't accept the declaration then. When declarations were sent once
-    /// only, the ledger lent almost nothing for two seconds, and most requests below their accounts'
-    /// limits were refused.
+    /// itself does. The other VM doesn't accept the declaration then. When declarations were sent
+    /// once only, the ledger lent almost nothing for two seconds, and most requests below their
+    /// accounts' limits were refused.
     declaration_that_was_not_taken_is_made_again => declaration_case();
 }
 
--- a/crates/daemon/tests/components/peer.rs
+++ b/crates/daemon/tests/components/peer.rs
@@ -180,8 +180,8 @@
     ErrorObjectOwned::owned(-32_000, "the standby dropped the call", None::<()>)
 }
 
-/// Answers a command as a control VM: confirmations of journals are committed, everything else finds no
-/// leader.
+/// Answers a command as a control VM: confirmations of journals are committed, everything else
+/// finds no leader.
 fn answer_command(request: &CommandRequest) -> CommandReply {
     match request.command {
         CatalogCommand::ConfirmJournal(_) => {
--- a/crates/daemon/tests/components/peers.rs
+++ b/crates/daemon/tests/components/peers.rs
@@ -31,23 +31,23 @@
 failure_cases! {
     /// The other VM is down before the call. No connection can be opened, so the call was not run.
     unreachable_peer_has_not_run_the_call => unreachable_case();
-    /// A new connection is accepted, but nothing comes back on it, as through a host that is cut off. The
-    /// call was not sent.
+    /// A new connection is accepted, but nothing comes back on it, as through a host that is cut
+    /// off. The call was not sent.
     hanging_connection_has_not_run_the_call => hanging_case();
     /// The link breaks while the other VM runs the call, which may have taken effect.
     link_lost_during_a_call_leaves_doubt => lost_case();
-    /// The network path has dropped the connection's state. The link looks open and never answers, while
-    /// new connections work. One call times out on it; the next one uses a new connection.
+    /// The network path has dropped the connection's state. The link looks open and never answers,
+    /// while new connections work. One call times out on it; the next one uses a new connection.
     silent_link_is_replaced => silent_case();
-    /// The link goes silent while the other VM runs a call with a limit of an hour. The caller must learn
-    /// that the outcome is unknown well before that.
+    /// The link goes silent while the other VM runs a call with a limit of an hour. The caller must
+    /// learn that the outcome is unknown well before that.
     silence_ends_a_call_before_its_limit => silent_call_case();
-    /// The other VM answers with an error. The link stays usable, but the call reached the VM and may have
-    /// run.
+    /// The other VM answers with an error. The link stays usable, but the call reached the VM and
+    /// may have run.
     rejected_call_may_have_run => rejected_case();
-    /// An endpoint announces that it is leaving, and a VM that doesn't lead its group answers at its
-    /// leaseholder's former address. If the announcement counted as delivered, the endpoint would stop
-    /// while the leaseholder still sends it statements.
+    /// An endpoint announces that it is leaving, and a VM that doesn't lead its group answers at
+    /// its leaseholder's former address. If the announcement counted as delivered, the endpoint
+    /// would stop while the leaseholder still sends it statements.
     announcement_that_another_vm_takes_has_not_reached_the_leaseholder => misdirected_case();
 }
 
--- a/crates/daemon/tests/components/plans.rs
+++ b/crates/daemon/tests/components/plans.rs
@@ -17,8 +17,9 @@
 use std::sync::Arc;
 
 failure_cases! {
-    /// Each leaseholder of a VM once computed the plan of all groups at every change of the catalog. With
-    /// hundreds of groups that used up the CPU until leases expired. Now a revision is planned once.
+    /// Each leaseholder of a VM once computed the plan of all groups at every change of the
+    /// catalog. With hundreds of groups that used up the CPU until leases expired. Now a revision
+    /// is planned once.
     groups_of_a_vm_share_a_plan => shared_case();
 }
 
--- a/crates/daemon/tests/components/scripted.rs
+++ b/crates/daemon/tests/components/scripted.rs
@@ -29,9 +29,9 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinSet;
 
-/// Starts an endpoint that answers every simple query with its own text and every extended query with
-/// one row of [`typed_fields`]. If `forged_id` is given, it answers position queries with that id
-/// instead of the statement's.
+/// Starts an endpoint that answers every simple query with its own text and every extended query
+/// with one row of [`typed_fields`]. If `forged_id` is given, it answers position queries with that
+/// id instead of the statement's.
 pub async fn start_scripted(forged_id: Option<&'static str>) -> (SocketAddr, JoinSet<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
--- a/crates/daemon/tests/components/shapes.rs
+++ b/crates/daemon/tests/components/shapes.rs
@@ -38,8 +38,8 @@
     /// Preparing an invalid statement in a transaction aborts the transaction, as it does without a
     /// proxy. None of its writes may be committed.
     failed_preparation_fails_its_transaction => failed_transaction_case();
-    /// Long statements occupy all slots of the primary. A preparation waits for a free slot; it neither
-    /// takes the connection of a running statement nor is it lost.
+    /// Long statements occupy all slots of the primary. A preparation waits for a free slot; it
+    /// neither takes the connection of a running statement nor is it lost.
     preparation_waits_while_all_slots_are_taken => busy_case();
     /// No connection to an endpoint answers any more. The preparation detects that and gets its
     /// answer over a new connection.
--- a/crates/daemon/tests/components/statements.rs
+++ b/crates/daemon/tests/components/statements.rs
@@ -64,51 +64,57 @@
 const LOST_REPLY: &str = "loses";
 
 failure_cases! {
-    /// A hundred calls run concurrently on one link, and short statements overtake long ones. Each call
-    /// gets the reply to its own statement; a mix-up would show one customer's rows to another.
+    /// A hundred calls run concurrently on one link, and short statements overtake long ones. Each
+    /// call gets the reply to its own statement; a mix-up would show one customer's rows to
+    /// another.
     replies_are_matched_to_their_calls => concurrent_calls_case();
-    /// Nothing listens at the leaseholder's address. The statement has not run, and the error says so.
+    /// Nothing listens at the leaseholder's address. The statement has not run, and the error says
+    /// so.
     unreachable_leaseholder_has_not_run_the_call => unreachable_case();
-    /// The leaseholder's process hangs: its kernel accepts connections, and nothing answers on them. The
-    /// statement has not run, and its caller isn't left in doubt.
+    /// The leaseholder's process hangs: its kernel accepts connections, and nothing answers on
+    /// them. The statement has not run, and its caller isn't left in doubt.
     hanging_process_has_not_run_the_call => hanging_case();
-    /// Statements keep arriving while a leaseholder is unreachable. Each is refused at once: waiting for a
-    /// connection attempt to time out would leave their callers no time for the successor.
+    /// Statements keep arriving while a leaseholder is unreachable. Each is refused at once:
+    /// waiting for a connection attempt to time out would leave their callers no time for the
+    /// successor.
     calls_are_refused_while_a_leaseholder_is_out_of_reach => outage_case();
     /// The connection breaks while the leaseholder runs a statement, which may have taken effect.
     link_lost_during_a_call_leaves_doubt => lost_case();
-    /// The leaseholder's VM loses power while it runs statements. Their callers learn that the outcome is
-    /// unknown long before their limit of an hour, and the next statement uses a new connection.
+    /// The leaseholder's VM loses power while it runs statements. Their callers learn that the
+    /// outcome is unknown long before their limit of an hour, and the next statement uses a new
+    /// connection.
     silence_ends_a_call_before_its_limit => silent_case();
-    /// One slow statement is the only traffic on the link. The leaseholder answers the link's pings, so
-    /// the call goes on waiting for its reply.
+    /// One slow statement is the only traffic on the link. The leaseholder answers the link's
+    /// pings, so the call goes on waiting for its reply.
     slow_statement_is_waited_for => slow_case();
-    /// The leaseholder's task ends without a reply to one statement. Only that statement is in doubt.
+    /// The leaseholder's task ends without a reply to one statement. Only that statement is in
+    /// doubt.
     lost_reply_leaves_the_link_alone => lost_reply_case();
-    /// A leaseholder's VM shuts down while statements still arrive, because gateways learn of the handover
-    /// a heartbeat later. Each statement is answered or was never sent. If the connection were closed
-    /// with unread statements in it, callers would be in doubt about writes that were never run.
+    /// A leaseholder's VM shuts down while statements still arrive, because gateways learn of the
+    /// handover a heartbeat later. Each statement is answered or was never sent. If the connection
+    /// were closed with unread statements in it, callers would be in doubt about writes that were
+    /// never run.
     stopping_leaseholder_answers_all_that_was_sent_to_it => stopping_case();
-    /// A leaseholder's VM shuts down while it runs a statement. The reply is sent before the connection
-    /// closes.
+    /// A leaseholder's VM shuts down while it runs a statement. The reply is sent before the
+    /// connection closes.
     stopping_leaseholder_sends_replies_in_progress => last_reply_case();
-    /// A client that doesn't speak the protocol connects and sends other bytes. Only its own connection
-    /// is closed.
+    /// A client that doesn't speak the protocol connects and sends other bytes. Only its own
+    /// connection is closed.
     malformed_bytes_close_only_their_own_connection => malformed_bytes_case();
     /// A gateway takes a leaseholder's address for statement links from the catalog and uses it.
     gateway_uses_the_link => gateway_case();
-    /// A gateway has been cut off from every control VM and leaseholder until its lease has ended. Instead
-    /// of refusing its callers, it forwards their statements through another gateway. Where that one is
-    /// cut off too, the next one is tried; if none is left, the statement is refused.
+    /// A gateway has been cut off from every control VM and leaseholder until its lease has ended.
+    /// Instead of refusing its callers, it forwards their statements through another gateway. Where
+    /// that one is cut off too, the next one is tried; if none is left, the statement is refused.
     isolated_gateway_forwards_through_another => isolated_gateway_case();
-    /// A gateway is cut off, and another one reports that one group has no leaseholder. Statements for
-    /// other groups must still be forwarded; if the gateway took itself for isolated, it would refuse
-    /// them all.
+    /// A gateway is cut off, and another one reports that one group has no leaseholder. Statements
+    /// for other groups must still be forwarded; if the gateway took itself for isolated, it would
+    /// refuse them all.
     group_without_a_leaseholder_does_not_isolate_the_gateway => no_leaseholder_case();
 }
 
-/// A runner that answers each statement with the length of its text. The shorter the text, the later
-/// the reply: 100 ms less a millisecond for each byte.
+/// A runner that answers each statement with the length of its text. The shorter the text, the
+/// later the reply: 100 ms less a millisecond for each byte.
 #[derive(Default)]
 struct LengthRunner {
     received: AtomicUsize,
--- a/crates/daemon/tests/components/takeover.rs
+++ b/crates/daemon/tests/components/takeover.rs
@@ -23,19 +23,20 @@
     /// The leaseholder is killed while a keyed write runs, and the caller resends it. The successor
     /// can't know whether the write ran, and must not run it again to find out.
     resend_after_a_takeover_does_not_run => running_case();
-    /// The leaseholder is killed after it has acknowledged a keyed write, and the acknowledgement is
-    /// lost on its way. The resend gets the acknowledged verdict from the successor.
+    /// The leaseholder is killed after it has acknowledged a keyed write, and the acknowledgement
+    /// is lost on its way. The resend gets the acknowledged verdict from the successor.
     decided_write_keeps_its_verdict_over_a_takeover => decided_case();
-    /// A session writes, and reads the key through the successor while one replica gets no replication.
-    /// It must see its write, whichever instance answers.
+    /// A session writes, and reads the key through the successor while one replica gets no
+    /// replication. It must see its write, whichever instance answers.
     session_reads_its_write_after_a_takeover => session_case();
-    /// A leaseholder hands its group over, and statements still arrive in its task's queue while the task
-    /// ends, because gateways learn of the change a heartbeat later. Each must be answered. A statement
-    /// that is dropped with the queue was not run, but its gateway reports doubt, as in this log line 5 ms
-    /// after `group_left`: `request_failed outcome=in_doubt cause="leaseholder lost" took_ms=3 epoch=1`.
+    /// A leaseholder hands its group over, and statements still arrive in its task's queue while
+    /// the task ends, because gateways learn of the change a heartbeat later. Each must be
+    /// answered. A statement that is dropped with the queue was not run, but its gateway reports
+    /// doubt, as in this log line 5 ms after `group_left`: `request_failed outcome=in_doubt
+    /// cause="leaseholder lost" took_ms=3 epoch=1`.
     statement_meeting_an_ending_leaseholder_is_answered => ending_case();
-    /// A VM shuts down while statements wait in the queue of its leaseholder manager. The manager ends,
-    /// and each statement must be answered as not run.
+    /// A VM shuts down while statements wait in the queue of its leaseholder manager. The manager
+    /// ends, and each statement must be answered as not run.
     statement_that_meets_an_ending_manager_is_answered => ending_manager_case();
 }
 
--- a/crates/daemon/tests/connecting.rs
+++ b/crates/daemon/tests/connecting.rs
@@ -11,8 +11,8 @@
 const LIMIT: Duration = Duration::from_millis(400);
 
 /// A VM starts 120 ms after another one began to connect to it. The attempts before that are never
-/// answered; the first one after it is answered at once. If the caller waited for the lost attempts, it
-/// would connect a quarter of a second later.
+/// answered; the first one after it is answered at once. If the caller waited for the lost
+/// attempts, it would connect a quarter of a second later.
 #[tokio::test(start_paused = true)]
 async fn vm_that_returns_is_reached_by_the_next_attempt() {
     let began = Instant::now();
--- a/crates/daemon/tests/drain.rs
+++ b/crates/daemon/tests/drain.rs
@@ -17,7 +17,8 @@
 /// The time limit of the test. It only ends a test that hangs.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Creates the settings of a single VM that accepts callers for an hour after it has ceased to be ready.
+/// Creates the settings of a single VM that accepts callers for an hour after it has ceased to be
+/// ready.
 fn create_settings(ports: [u16; 3]) -> DaemonSettings {
     let folder = std::env::temp_dir().join(format!("ragwort-drain-{}", std::process::id()));
     let [callers, peers, platform] = ports;
@@ -52,7 +53,8 @@
     ports
 }
 
-/// Sends bytes over a new connection and returns everything up to its end; nothing if it is refused.
+/// Sends bytes over a new connection and returns everything up to its end; nothing if it is
+/// refused.
 async fn send_and_read(address: SocketAddr, request: &[u8]) -> Vec<u8> {
     let mut answer = Vec::new();
     if let Ok(mut stream) = TcpStream::connect(address).await
@@ -85,8 +87,9 @@
     String::from_utf8_lossy(&send_and_read(callers, &startup).await).into_owned()
 }
 
-/// A VM shuts down, and the load balancer in front of it probes readiness once a second. Until it notices,
-/// it routes new callers to the VM. They must be served as before, and not be refused a connection.
+/// A VM shuts down, and the load balancer in front of it probes readiness once a second. Until it
+/// notices, it routes new callers to the VM. They must be served as before, and not be refused a
+/// connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn callers_are_taken_until_the_balancer_has_noticed() {
     let ports = free_ports().await;
--- a/crates/daemon/tests/log_pipe.rs
+++ b/crates/daemon/tests/log_pipe.rs
@@ -38,9 +38,9 @@
     }
 }
 
-/// The reader of the daemon's output stops reading while the daemon goes on logging. Writes must not block,
-/// or callers would see requests hang. When the reader is back, a line reports how many lines were
-/// dropped.
+/// The reader of the daemon's output stops reading while the daemon goes on logging. Writes must
+/// not block, or callers would see requests hang. When the reader is back, a line reports how many
+/// lines were dropped.
 #[test]
 fn unread_output_does_not_block_the_daemon() {
     let output = GatedOutput::default();
--- a/crates/daemon/tests/logs.rs
+++ b/crates/daemon/tests/logs.rs
@@ -1,4 +1,5 @@
-//! The format of the log file. The log is global to a process, so this test is the only one in its binary.
+//! The format of the log file. The log is global to a process, so this test is the only one in its
+//! binary.
 
 use log::Level;
 use log::LevelFilter;
--- a/crates/daemon/tests/native/bench.rs
+++ b/crates/daemon/tests/native/bench.rs
@@ -1,5 +1,5 @@
-//! A test bench: a running leaseholder task with scripted endpoints, a constructed catalog view, and
-//! stand-ins for the control VM and the promotion service.
+//! A test bench: a running leaseholder task with scripted endpoints, a constructed catalog view,
+//! and stand-ins for the control VM and the promotion service.
 
 use crate::cases::wait_until;
 use crate::codec::LineProtocol;
@@ -95,14 +95,14 @@
 /// Deadline of statements in milliseconds, far beyond the time that a working leaseholder needs.
 const LONG_MS: u64 = 30_000;
 
-/// The kinds of the contract: reads that allow old data, reads that see all acknowledged writes, and
-/// writes.
+/// The kinds of the contract: reads that allow old data, reads that see all acknowledged writes,
+/// and writes.
 pub const AGED: &str = "aged";
 pub const FRESH: &str = "fresh";
 pub const WRITE: &str = "write";
 
-/// A promotion service that records its orders. It replies with the last of `replies`, or accepts the order
-/// if there is none.
+/// A promotion service that records its orders. It replies with the last of `replies`, or accepts
+/// the order if there is none.
 #[derive(Default)]
 pub struct ScriptedPromotions {
     pub orders: Mutex<Vec<PromotionOrder>>,
@@ -272,7 +272,8 @@
         Self::start_after(lengths, limit, |_| create_record()).await
     }
 
-    /// Starts with a primary and two replicas that a former leaseholder noted in the catalog, in `term`.
+    /// Starts with a primary and two replicas that a former leaseholder noted in the catalog, in
+    /// `term`.
     pub async fn start_with_notes(lengths: [u64; 3], term: u64) -> Self {
         Self::start_after(lengths, u32::MAX, |endpoints| {
             note_endpoints(endpoints, term)
@@ -280,7 +281,8 @@
         .await
     }
 
-    /// Starts with noted endpoints, of which the primary has failed together with the former leaseholder.
+    /// Starts with noted endpoints, of which the primary has failed together with the former
+    /// leaseholder.
     pub async fn start_with_dead_primary(lengths: [u64; 3]) -> Self {
         Self::start_after(lengths, u32::MAX, |endpoints| {
             let mut record = note_endpoints(endpoints, 1);
@@ -369,7 +371,8 @@
         self.inbox.send(event).await.unwrap();
     }
 
-    /// Returns the announcement number `sequence` of an endpoint's process that started at `started_ms`.
+    /// Returns the announcement number `sequence` of an endpoint's process that started at
+    /// `started_ms`.
     pub fn describe_process(
         &self,
         index: usize,
@@ -404,8 +407,8 @@
         answer
     }
 
-    /// Sends a statement without waiting for room in the queue. Returns `None` if the queue is full or
-    /// closed.
+    /// Sends a statement without waiting for room in the queue. Returns `None` if the queue is full
+    /// or closed.
     pub fn try_send(&self, statement: TestStatement) -> Option<oneshot::Receiver<StatementReply>> {
         let (reply, answer) = oneshot::channel();
         let event = GroupEvent::Statement(Box::new(statement.into_request()), reply);
@@ -455,8 +458,8 @@
         .await;
     }
 
-    /// Waits until any endpoint withholds the answer to a command that contains this text, and returns the
-    /// endpoint's index.
+    /// Waits until any endpoint withholds the answer to a command that contains this text, and
+    /// returns the endpoint's index.
     pub async fn wait_for_any_withheld(&self, text: &str) -> usize {
         let mut found = None;
         wait_until(|| {
--- a/crates/daemon/tests/native/connections.rs
+++ b/crates/daemon/tests/native/connections.rs
@@ -20,25 +20,25 @@
     /// Statements of other sessions run between the two of a transaction. On another connection the
     /// second one wouldn't see the first, and the commit would cover only a part.
     transaction_stays_on_its_connection => transaction_case();
-    /// A session has set its language. Its statements need the value on whichever connection they run,
-    /// and statements of other sessions must not run with it.
+    /// A session has set its language. Its statements need the value on whichever connection they
+    /// run, and statements of other sessions must not run with it.
     values_of_a_session_reach_its_statements_and_no_others => values_case();
-    /// Callers of two accounts take turns. Each connection is opened for an account, whose rights the
-    /// endpoint applies to all statements on it. A statement on another account's connection would run
-    /// with that account's rights.
+    /// Callers of two accounts take turns. Each connection is opened for an account, whose rights
+    /// the endpoint applies to all statements on it. A statement on another account's connection
+    /// would run with that account's rights.
     statements_run_on_connections_of_their_account => account_case();
-    /// Ten accounts call, and the endpoint accepts only three connections, as it still counts those of a
-    /// lost leaseholder. Each statement gets a connection in place of an idle one. Without the replacement,
-    /// most accounts would be refused until the endpoint drops the lost connections.
+    /// Ten accounts call, and the endpoint accepts only three connections, as it still counts those
+    /// of a lost leaseholder. Each statement gets a connection in place of an idle one. Without the
+    /// replacement, most accounts would be refused until the endpoint drops the lost connections.
     full_endpoint_serves_more_accounts_than_connections => full_case();
-    /// A burst of transactions opened more connections than the process has descriptors for. None were left
-    /// for the replicated log and the connections to other VMs.
+    /// A burst of transactions opened more connections than the process has descriptors for. None
+    /// were left for the replicated log and the connections to other VMs.
     burst_of_transactions_stays_within_the_descriptors => descriptors_case();
-    /// A contract admits only callers with a key. A caller without an account is refused. So is one whose
-    /// gateway had no lease and passed on a key that its account no longer has.
+    /// A contract admits only callers with a key. A caller without an account is refused. So is one
+    /// whose gateway had no lease and passed on a key that its account no longer has.
     caller_without_a_key_in_force_is_refused => key_case();
-    /// An address belongs to another instance by now. Statements for the former instance must not run on
-    /// the new one.
+    /// An address belongs to another instance by now. Statements for the former instance must not
+    /// run on the new one.
     address_of_another_instance_gets_no_statements => wrong_instance_case();
 }
 
--- a/crates/daemon/tests/native/failover.rs
+++ b/crates/daemon/tests/native/failover.rs
@@ -13,29 +13,29 @@
 use tokio::time::sleep;
 
 failure_cases! {
-    /// The primary's process dies, and only one of two replicas holds all acknowledged writes. Promoting
-    /// the other one would lose a write that its caller was told is saved.
+    /// The primary's process dies, and only one of two replicas holds all acknowledged writes.
+    /// Promoting the other one would lose a write that its caller was told is saved.
     dead_primary_is_followed_by_the_replica_that_holds_all => dead_primary_case();
-    /// The promotion service is unavailable for the first order. The order is repeated; without that the
-    /// group would stay without a primary.
+    /// The promotion service is unavailable for the first order. The order is repeated; without
+    /// that the group would stay without a primary.
     unavailable_promotion_order_is_repeated => unavailable_order_case();
-    /// The primary announces that its VM is to be shut down. A replica is promoted before that, and no
-    /// write is sent to the old primary after the replacement has begun: it would be lost.
+    /// The primary announces that its VM is to be shut down. A replica is promoted before that, and
+    /// no write is sent to the old primary after the replacement has begun: it would be lost.
     leaving_primary_is_replaced_before_it_goes => leaving_primary_case();
-    /// The primary dies while a write is in transit to it. The write may have run, so it must not be
-    /// repeated, and its caller is told that it is in doubt.
+    /// The primary dies while a write is in transit to it. The write may have run, so it must not
+    /// be repeated, and its caller is told that it is in doubt.
     write_without_answer_is_in_doubt_and_not_repeated => lost_write_case();
-    /// A replica dies while a read is in transit to it. A read may run twice, so it is repeated on another
-    /// instance.
+    /// A replica dies while a read is in transit to it. A read may run twice, so it is repeated on
+    /// another instance.
     read_without_answer_is_repeated_elsewhere => lost_read_case();
-    /// The primary was changed without this leaseholder, and the former one refuses a write as a replica.
-    /// The write has not run, so it is retried and runs once.
+    /// The primary was changed without this leaseholder, and the former one refuses a write as a
+    /// replica. The write has not run, so it is retried and runs once.
     write_that_a_former_primary_refused_runs_once => refused_write_case();
     /// Announcements reach a busy leaseholder seconds late, the primary's last. A live primary was
     /// replaced before its first announcement arrived.
     primary_announced_late_is_not_replaced => late_primary_case();
-    /// Another VM takes the group over while a write runs at the endpoint. The caller gets a final verdict
-    /// at once, which must not claim that the write did not run.
+    /// Another VM takes the group over while a write runs at the endpoint. The caller gets a final
+    /// verdict at once, which must not claim that the write did not run.
     write_under_way_at_a_takeover_is_answered => takeover_case();
 }
 
--- a/crates/daemon/tests/native/freshness.rs
+++ b/crates/daemon/tests/native/freshness.rs
@@ -14,20 +14,20 @@
 const MARGIN_MS: u64 = 15;
 
 failure_cases! {
-    /// A leaseholder takes a group over and receives reads before it knows the primary's position, while
-    /// a replica is far behind. If the reads kept the minimum position that was known on their arrival,
-    /// the replica would serve them with data older than they allow.
+    /// A leaseholder takes a group over and receives reads before it knows the primary's position,
+    /// while a replica is far behind. If the reads kept the minimum position that was known on
+    /// their arrival, the replica would serve them with data older than they allow.
     read_that_waited_for_the_primary_sees_what_it_holds => waiting_read_case();
-    /// A session writes while the replicas lag. Its next read must not be served by a replica that lacks
-    /// the write.
+    /// A session writes while the replicas lag. Its next read must not be served by a replica that
+    /// lacks the write.
     read_sees_the_sessions_own_write => own_write_case();
-    /// A lagging replica refuses a read. The read is retried on another instance, and its caller sees no
-    /// refusal.
+    /// A lagging replica refuses a read. The read is retried on another instance, and its caller
+    /// sees no refusal.
     read_refused_by_a_lagging_replica_is_retried_elsewhere => lagging_case();
     /// A replica refuses a read and returns its position, which determines its lag. The answer was
-    /// processed in two steps that read the clock twice, so the refusal counted as one without a position
-    /// and doubled the estimated lag: from 5,635 to 25,712 ms within 0.2 ms in a log. For seconds,
-    /// such a replica gets none of the reads that it could serve.
+    /// processed in two steps that read the clock twice, so the refusal counted as one without a
+    /// position and doubled the estimated lag: from 5,635 to 25,712 ms within 0.2 ms in a log. For
+    /// seconds, such a replica gets none of the reads that it could serve.
     refusal_with_a_position_does_not_double_the_lag => refusal_with_position_case();
 }
 
--- a/crates/daemon/tests/native/lapses.rs
+++ b/crates/daemon/tests/native/lapses.rs
@@ -1,4 +1,5 @@
-//! Randomized test of writes while the lease lapses: each takes effect as often as its caller was told.
+//! Randomized test of writes while the lease lapses: each takes effect as often as its caller was
+//! told.
 
 use crate::bench::NativeBench;
 use crate::bench::TestStatement;
@@ -33,8 +34,8 @@
 const SEEDS_VARIABLE: &str = "RAGWORT_LAPSE_SEEDS";
 
 failure_cases! {
-    /// The lease lapsed while a write was running. The gateway submitted the write again, and it took
-    /// effect twice.
+    /// The lease lapsed while a write was running. The gateway submitted the write again, and it
+    /// took effect twice.
     write_under_lapsing_leases_takes_effect_once => lapsing_case(8);
 }
 
@@ -140,8 +141,8 @@
     AttemptEnd::Served
 }
 
-/// Submits a statement as a gateway does: again if no leaseholder accepted it, unless its transaction is
-/// open already.
+/// Submits a statement as a gateway does: again if no leaseholder accepted it, unless its
+/// transaction is open already.
 async fn submit(bench: &NativeBench, statement: &TestStatement) -> StatementReply {
     let mut reply = bench.ask(statement.clone()).await;
     for _ in 1..MAX_SUBMISSIONS {
@@ -192,7 +193,8 @@
     }
 }
 
-/// Counts how often each write took effect, by replaying the commands of each endpoint's connections.
+/// Counts how often each write took effect, by replaying the commands of each endpoint's
+/// connections.
 fn count_effects(bench: &NativeBench) -> HashMap<String, usize> {
     let mut effects: HashMap<String, usize> = HashMap::new();
     for endpoint in &bench.endpoints {
--- a/crates/daemon/tests/native/takeover.rs
+++ b/crates/daemon/tests/native/takeover.rs
@@ -1,5 +1,5 @@
-//! Change of a group's leaseholder: takeover by noted endpoints, handover, lapse of the lease and the end
-//! of the task.
+//! Change of a group's leaseholder: takeover by noted endpoints, handover, lapse of the lease and
+//! the end of the task.
 
 use crate::bench::NativeBench;
 use crate::bench::TestStatement;
@@ -15,49 +15,53 @@
 use ragwort_types::TransactionStep;
 
 failure_cases! {
-    /// A leaseholder's VM dies, and another one takes the group over before any endpoint has announced
-    /// itself there. Writes are served by the noted endpoints without waiting for announcements.
+    /// A leaseholder's VM dies, and another one takes the group over before any endpoint has
+    /// announced itself there. Writes are served by the noted endpoints without waiting for
+    /// announcements.
     noted_endpoints_serve_before_they_announce_themselves => noted_case();
-    /// A primary was replaced during a network partition, and answers the new leaseholder first. Writes to
-    /// it would be lost, so none are sent there.
+    /// A primary was replaced during a network partition, and answers the new leaseholder first.
+    /// Writes to it would be lost, so none are sent there.
     noted_term_keeps_writes_from_a_replaced_primary => replaced_case();
-    /// A rack fails with the leaseholder's VM and the primary. The next leaseholder can't reach the noted
-    /// primary, and replaces it without waiting for the time in which a live one would announce itself.
-    /// Callers couldn't write during that time.
+    /// A rack fails with the leaseholder's VM and the primary. The next leaseholder can't reach the
+    /// noted primary, and replaces it without waiting for the time in which a live one would
+    /// announce itself. Callers couldn't write during that time.
     noted_primary_that_is_dead_is_replaced => dead_noted_case();
-    /// A VM hands its groups over while a transaction stays open for a second. Single statements of other
-    /// callers are served meanwhile instead of being refused for that time. No new transaction is opened,
-    /// and the group moves when the last one has ended.
+    /// A VM hands its groups over while a transaction stays open for a second. Single statements of
+    /// other callers are served meanwhile instead of being refused for that time. No new
+    /// transaction is opened, and the group moves when the last one has ended.
     handover_serves_single_statements_until_transactions_end => handover_case();
-    /// A VM drains, a transaction exceeds its time limit, and the group is handed over while the commit is
-    /// under way. The successor may read the primary's position before the commit is done. If the commit
-    /// were acknowledged here, the successor would let replicas without it serve reads until the next write.
+    /// A VM drains, a transaction exceeds its time limit, and the group is handed over while the
+    /// commit is under way. The successor may read the primary's position before the commit is
+    /// done. If the commit were acknowledged here, the successor would let replicas without it
+    /// serve reads until the next write.
     commit_that_outlasts_a_handover_is_in_doubt => outlasting_case();
     /// As above, but the commit arrives after the group was handed over. It isn't run.
     commit_after_a_handover_is_not_run => late_commit_case();
-    /// Endpoints announce themselves repeatedly. They are noted in the catalog once and not with each
-    /// announcement, since a note goes to every VM.
+    /// Endpoints announce themselves repeatedly. They are noted in the catalog once and not with
+    /// each announcement, since a note goes to every VM.
     endpoints_are_noted_once => noting_case();
     /// An instance crashes, starts again under its name, and numbers its announcements from one. A
-    /// leaseholder that took them for stale ones would go on using the broken connections. Reads sent there
-    /// would fail one by one until the numbers have caught up, minutes later.
+    /// leaseholder that took them for stale ones would go on using the broken connections. Reads
+    /// sent there would fail one by one until the numbers have caught up, minutes later.
     restarted_instance_is_treated_as_new => restarted_case();
-    /// An announcement of an instance's former process arrives after its restart. If it were applied, it
-    /// would restore an outdated state: here, that the instance is leaving.
+    /// An announcement of an instance's former process arrives after its restart. If it were
+    /// applied, it would restore an outdated state: here, that the instance is leaving.
     late_announcement_of_a_former_process_changes_nothing => former_process_case();
-    /// A leaseholder is starved of CPU time, and its lease lapses for a moment while the first write of a
-    /// transaction runs at the endpoint. On a refusal with `NoLease` the gateway would submit the write
-    /// again once the lease is back. It would run a second time, beside a transaction that nobody ends. So
-    /// the caller is told that the transaction is lost, and the endpoint rolls it back.
+    /// A leaseholder is starved of CPU time, and its lease lapses for a moment while the first
+    /// write of a transaction runs at the endpoint. On a refusal with `NoLease` the gateway would
+    /// submit the write again once the lease is back. It would run a second time, beside a
+    /// transaction that nobody ends. So the caller is told that the transaction is lost, and the
+    /// endpoint rolls it back.
     write_that_outlasts_a_lease_runs_once => lapsed_case(TransactionStep::Begin, "begin");
     /// As above, for a later write of a transaction.
     later_write_that_outlasts_a_lease_loses_its_transaction => lapsed_case(TransactionStep::Within, "write record");
-    /// A group moved to another VM and back before its task saw the first move. The task went on with its
-    /// old positions, and let replicas serve reads without the writes that the other VM had acknowledged.
+    /// A group moved to another VM and back before its task saw the first move. The task went on
+    /// with its old positions, and let replicas serve reads without the writes that the other VM
+    /// had acknowledged.
     skipped_epoch_ends_the_leaseholder_task => skipped_epoch_case();
-    /// Statements reach a leaseholder's task while it ends, and wait in its queue. If the queue were dropped,
-    /// their callers would be told that the writes may have run, and couldn't repeat them, though none has
-    /// run.
+    /// Statements reach a leaseholder's task while it ends, and wait in its queue. If the queue
+    /// were dropped, their callers would be told that the writes may have run, and couldn't repeat
+    /// them, though none has run.
     statement_that_meets_an_ending_leaseholder_is_answered => ending_case();
 }
 
--- a/crates/daemon/tests/sessions.rs
+++ b/crates/daemon/tests/sessions.rs
@@ -90,8 +90,8 @@
 }
 
 case! {
-    /// A read after a write must carry the write's position. Otherwise a replica that hasn't received
-    /// the write could answer.
+    /// A read after a write must carry the write's position. Otherwise a replica that hasn't
+    /// received the write could answer.
     read_carries_the_position_of_the_last_write {
         let mut session = CallerSession::default();
         let saved = draft(&mut session, write("w"));
@@ -102,8 +102,8 @@
 }
 
 case! {
-    /// No position is known of a write that was refused or whose outcome is unknown. The position of
-    /// the write before must be kept.
+    /// No position is known of a write that was refused or whose outcome is unknown. The position
+    /// of the write before must be kept.
     failed_write_keeps_the_position_before {
         let mut session = CallerSession::default();
         let saved = draft(&mut session, write("w"));
@@ -129,7 +129,8 @@
 }
 
 case! {
-    /// All statements of a transaction, and its commit, carry the same id and so use one connection.
+    /// All statements of a transaction, and its commit, carry the same id and so use one
+    /// connection.
     transaction_keeps_its_id {
         let mut session = CallerSession::default();
         answer(&mut session, CallerStatement::Begin(TransactionMode::ReadWrite));
@@ -166,8 +167,8 @@
 }
 
 case! {
-    /// The answer to a commit is lost. The caller must be told that the outcome is unknown, never that
-    /// nothing was kept.
+    /// The answer to a commit is lost. The caller must be told that the outcome is unknown, never
+    /// that nothing was kept.
     lost_commit_is_in_doubt {
         let mut session = CallerSession::default();
         answer(&mut session, CallerStatement::Begin(TransactionMode::ReadWrite));
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -22,8 +22,8 @@
     DaemonSettings::from_yaml(text).expect_err("the settings are invalid")
 }
 
-/// Declares a test for each invalid file: the lines that are added to the minimal settings, and the line,
-/// column and text of each fault.
+/// Declares a test for each invalid file: the lines that are added to the minimal settings, and the
+/// line, column and text of each fault.
 macro_rules! refused {
     ($($name:ident: $added:expr => $(($line:expr, $column:expr, $words:expr)),+;)*) => {$(
         #[test]
@@ -68,8 +68,8 @@
         (9, 1, "speed: unknown setting");
 }
 
-/// Declares a test for each invalid file: a replacement in the minimal settings, and the text of the one
-/// fault.
+/// Declares a test for each invalid file: a replacement in the minimal settings, and the text of
+/// the one fault.
 macro_rules! refused_when {
     ($($name:ident: $old:expr, $new:expr => $words:expr;)*) => {$(
         #[test]
--- a/crates/daemon/tests/shortage/main.rs
+++ b/crates/daemon/tests/shortage/main.rs
@@ -1,5 +1,5 @@
-//! A VM that runs out of file descriptors. The test lowers the limit of its whole process, and so is the
-//! only one in its test binary.
+//! A VM that runs out of file descriptors. The test lowers the limit of its whole process, and so
+//! is the only one in its test binary.
 
 #[macro_use]
 #[path = "../native/cases.rs"]
@@ -34,12 +34,13 @@
 const SHORTAGE: Duration = Duration::from_secs(1);
 
 failure_cases! {
-    /// Connection attempts that fail for want of descriptors are no sign of a dead primary. When they were
-    /// counted as one, a live primary was replaced.
+    /// Connection attempts that fail for want of descriptors are no sign of a dead primary. When
+    /// they were counted as one, a live primary was replaced.
     vm_without_descriptors_replaces_no_primary => shortage_case();
 }
 
-/// Lowers the process's descriptor limit so that no further one can be opened; returns the former limit.
+/// Lowers the process's descriptor limit so that no further one can be opened; returns the former
+/// limit.
 fn exhaust_descriptors() -> Rlimit {
     let before = getrlimit(Resource::Nofile);
     // Descriptors take the lowest free number, and numbers from the limit upwards are refused.
--- a/crates/lab/src/announcer.rs
+++ b/crates/lab/src/announcer.rs
@@ -1,7 +1,7 @@
 //! Periodic announcements, by which daemons discover the endpoint.
 //!
-//! An announcement goes to all addresses that the last reply asked for. If none of them answers, the
-//! configured addresses are tried in turn until one answers.
+//! An announcement goes to all addresses that the last reply asked for. If none of them answers,
+//! the configured addresses are tried in turn until one answers.
 
 use crate::endpoint::EndpointShared;
 use futures::future::join_all;
--- a/crates/lab/src/caller.rs
+++ b/crates/lab/src/caller.rs
@@ -141,8 +141,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`CallerVerdict::NotRun`], which is the verdict of the request that the connection was
-    /// opened for.
+    /// Returns [`CallerVerdict::NotRun`], which is the verdict of the request that the connection
+    /// was opened for.
     pub async fn open(settings: &CallerSettings) -> Result<Self, CallerVerdict> {
         let mut config = Config::new();
         config
@@ -217,8 +217,9 @@
     }
 }
 
-/// Drives the connection and forwards its notices. A notice is sent to the channel before the answer that
-/// it precedes is delivered, so a caller that has its answer finds the notice in the channel.
+/// Drives the connection and forwards its notices. A notice is sent to the channel before the
+/// answer that it precedes is delivered, so a caller that has its answer finds the notice in the
+/// channel.
 async fn drive_connection(
     mut connection: Connection<tokio_postgres::Socket, NoTlsStream>,
     notices: mpsc::UnboundedSender<String>,
@@ -257,9 +258,9 @@
     }
 }
 
-/// Converts a server's error to a verdict. A gateway states in the error's detail that a request was not
-/// run; an endpoint refuses statements by a SQLSTATE of class 53 (too many connections) or 57P0x (fenced
-/// or shutting down).
+/// Converts a server's error to a verdict. A gateway states in the error's detail that a request
+/// was not run; an endpoint refuses statements by a SQLSTATE of class 53 (too many connections) or
+/// 57P0x (fenced or shutting down).
 fn classify_error(error: &DbError) -> CallerVerdict {
     let sqlstate = error.code().code();
     let refused = error.detail() == Some(NOT_RUN_DETAIL)
--- a/crates/lab/src/data_port.rs
+++ b/crates/lab/src/data_port.rs
@@ -1,7 +1,8 @@
 //! The data port: a PostgreSQL server that executes the commands of [`crate::statement`].
 //!
-//! The numbers of concurrent statements (slots) and of connections are limited, as on a small database
-//! server. Injected faults take effect here: a frozen endpoint or a silenced connection doesn't answer.
+//! The numbers of concurrent statements (slots) and of connections are limited, as on a small
+//! database server. Injected faults take effect here: a frozen endpoint or a silenced connection
+//! doesn't answer.
 
 use crate::endpoint::EndpointShared;
 use crate::instance::KeyWrite;
@@ -433,7 +434,8 @@
     }
 }
 
-/// Describes parameters and columns to clients of the extended query protocol; all are of type text.
+/// Describes parameters and columns to clients of the extended query protocol; all are of type
+/// text.
 #[derive(Debug)]
 struct CommandParser {
     shared: Arc<EndpointShared>,
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -1,5 +1,5 @@
-//! A demo: starts a small deployment, sends a keyed write twice and some reads through several gateways,
-//! and prints each caller's answer.
+//! A demo: starts a small deployment, sends a keyed write twice and some reads through several
+//! gateways, and prints each caller's answer.
 
 use crate::caller::CallerSettings;
 use crate::caller::CallerVerdict;
@@ -123,8 +123,8 @@
     }
 }
 
-/// Sends a write twice with the same request key through one gateway, then reads through others in the
-/// same session and in another one.
+/// Sends a write twice with the same request key through one gateway, then reads through others in
+/// the same session and in another one.
 async fn send_requests(set: &LabSet, group: &str) -> Result<(), SetFault> {
     let marks = |kind| StatementMarks {
         kind: Some(kind),
@@ -188,8 +188,8 @@
     }
 }
 
-/// Describes a verdict in one line: the outcome, the instance that served the request, and its term and
-/// position.
+/// Describes a verdict in one line: the outcome, the instance that served the request, and its term
+/// and position.
 pub fn describe(verdict: &CallerVerdict) -> String {
     match verdict {
         CallerVerdict::Ran { rows, served } => {
--- a/crates/lab/src/endpoint.rs
+++ b/crates/lab/src/endpoint.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a database endpoint: one in-memory instance with a data port, an agent, replication
-//! and announcements.
+//! A stand-in for a database endpoint: one in-memory instance with a data port, an agent,
+//! replication and announcements.
 
 use crate::agent_port::AgentService;
 use crate::announcer::Announcer;
@@ -65,8 +65,8 @@
 }
 
 impl EndpointSettings {
-    /// Returns the settings of an endpoint of the group `cases` for tests: on free ports of 127.0.0.1,
-    /// with a service time of 1 ms, without delays or announcements.
+    /// Returns the settings of an endpoint of the group `cases` for tests: on free ports of
+    /// 127.0.0.1, with a service time of 1 ms, without delays or announcements.
     pub fn quick(instance: &str, primary: bool) -> Self {
         let any_port: SocketAddr = ([127, 0, 0, 1], 0).into();
         Self {
--- a/crates/lab/src/faults.rs
+++ b/crates/lab/src/faults.rs
@@ -6,8 +6,8 @@
 /// A request to begin or end a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FaultRequest {
-    /// Stops both ports from answering (`true`) or lets them answer again. The calls that set faults and
-    /// read the log are still answered.
+    /// Stops both ports from answering (`true`) or lets them answer again. The calls that set
+    /// faults and read the log are still answered.
     Freeze(bool),
     /// Multiplies service times by this factor; 1 is the normal speed.
     Slow(u32),
--- a/crates/lab/src/gap.rs
+++ b/crates/lab/src/gap.rs
@@ -23,8 +23,8 @@
 use tokio::time::sleep_until;
 use tokio::time::timeout;
 
-/// The number of concurrent writers. It is large enough that writers which still wait for an answer of the
-/// lost primary don't noticeably reduce the rate of writes at the end of the gap.
+/// The number of concurrent writers. It is large enough that writers which still wait for an answer
+/// of the lost primary don't noticeably reduce the rate of writes at the end of the gap.
 const WRITERS: u32 = 40;
 
 /// The interval between the writes of one writer; all writers together write every 10 ms.
@@ -36,8 +36,8 @@
 /// The minimum time between the first write and the fault, in milliseconds.
 const WARM_UP_MS: u64 = 800;
 
-/// The upper bound of the random addition to [`WARM_UP_MS`], in milliseconds. It is drawn for each run, so
-/// that faults occur at different phases of the periodic timers.
+/// The upper bound of the random addition to [`WARM_UP_MS`], in milliseconds. It is drawn for each
+/// run, so that faults occur at different phases of the periodic timers.
 const MAX_JITTER_MS: u64 = 400;
 
 /// The time within which a successor must acknowledge a write, or the run counts as failed.
@@ -170,8 +170,8 @@
     Ok(report)
 }
 
-/// Measures one failover. The inner error is the reason of a failed run, after which the next one can
-/// start.
+/// Measures one failover. The inner error is the reason of a failed run, after which the next one
+/// can start.
 async fn measure_gap(
     set: &mut LabSet,
     group: &str,
@@ -246,11 +246,11 @@
     instance: String,
 }
 
-/// Waits for the first write of a successor. Returns the times of the old primary's last write, if there
-/// was one, and of the successor's first.
+/// Waits for the first write of a successor. Returns the times of the old primary's last write, if
+/// there was one, and of the successor's first.
 ///
-/// The writers' messages may arrive slightly out of order, so the latest time of the old primary's writes
-/// counts rather than the last one received.
+/// The writers' messages may arrive slightly out of order, so the latest time of the old primary's
+/// writes counts rather than the last one received.
 async fn wait_for_successor_write(
     acknowledged_writes: &mut mpsc::UnboundedReceiver<AcknowledgedWrite>,
     old: &str,
@@ -285,8 +285,8 @@
     (writers, acknowledged_writes)
 }
 
-/// Writes every [`WRITE_PERIOD`] and sends acknowledged writes to the channel. If a write takes longer, the
-/// missed ticks are skipped.
+/// Writes every [`WRITE_PERIOD`] and sends acknowledged writes to the channel. If a write takes
+/// longer, the missed ticks are skipped.
 async fn run_writer(
     settings: CallerSettings,
     first: Instant,
@@ -354,8 +354,8 @@
     phases
 }
 
-/// Parses a log line with `event=promotion_phase group=GROUP phase=PHASE ms=MILLIS` and returns phase and
-/// duration; `None` for other lines and groups.
+/// Parses a log line with `event=promotion_phase group=GROUP phase=PHASE ms=MILLIS` and returns
+/// phase and duration; `None` for other lines and groups.
 pub fn parse_phase(line: &str, group: &str) -> Option<(String, f64)> {
     let value = |key: &str| {
         line.split_whitespace()
--- a/crates/lab/src/instance.rs
+++ b/crates/lab/src/instance.rs
@@ -1,10 +1,10 @@
-//! The state machine of one database instance: replicated log, role, term and key-value data, without
-//! I/O.
+//! The state machine of one database instance: replicated log, role, term and key-value data,
+//! without I/O.
 //!
 //! It gives the guarantees that the platform gives for a database group. Once fenced at a term, an
-//! instance refuses every earlier term. A promoted instance begins its term with an empty log entry. A
-//! follower truncates its log to the prefix that it shares with its primary before it appends the
-//! primary's entries, so that all logs of a group converge.
+//! instance refuses every earlier term. A promoted instance begins its term with an empty log
+//! entry. A follower truncates its log to the prefix that it shares with its primary before it
+//! appends the primary's entries, so that all logs of a group converge.
 
 use ragwort_types::FenceReply;
 use ragwort_types::GroupTerm;
@@ -127,8 +127,8 @@
 /// A primary's reply to a [`FetchRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FetchReply {
-    /// The entries after the follower's last one, which means that the follower's log is a prefix of
-    /// the primary's.
+    /// The entries after the follower's last one, which means that the follower's log is a prefix
+    /// of the primary's.
     Entries(Vec<LogEntry>),
     /// The follower's last entry isn't in the primary's log; the follower truncates its log to this
     /// index and fetches again.
@@ -325,7 +325,8 @@
         FetchReply::Mismatch(self.common_prefix_bound(after))
     }
 
-    /// Truncates the log to `after` entries and appends the entries that the primary of `term` sent.
+    /// Truncates the log to `after` entries and appends the entries that the primary of `term`
+    /// sent.
     ///
     /// The call has no effect unless the instance follows that primary, so late entries from the
     /// primary of an earlier term are ignored.
@@ -339,8 +340,8 @@
         }
     }
 
-    /// Drops the entries after `index`, which the primary of `term` has reported as missing from its
-    /// log.
+    /// Drops the entries after `index`, which the primary of `term` has reported as missing from
+    /// its log.
     pub fn drop_after(&mut self, term: GroupTerm, index: u64) {
         if self.follows(term) {
             self.truncate(index);
@@ -381,8 +382,9 @@
         position.index <= self.log.len() as u64 && self.position_before(position.index) == position
     }
 
-    /// Returns an upper bound, below the mismatch, on the length of the logs' common prefix. Entries
-    /// above it belong to a later term than the follower's last entry or lie beyond this log's end.
+    /// Returns an upper bound, below the mismatch, on the length of the logs' common prefix.
+    /// Entries above it belong to a later term than the follower's last entry or lie beyond this
+    /// log's end.
     fn common_prefix_bound(&self, after: LogPosition) -> u64 {
         let mut bound = after.index.saturating_sub(1).min(self.log.len() as u64);
         while bound > 0 && self.position_before(bound).term > after.term {
--- a/crates/lab/src/instance_task.rs
+++ b/crates/lab/src/instance_task.rs
@@ -217,7 +217,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`StatementFault`] if the instance has been fenced since the connection was opened.
+    /// Returns a [`StatementFault`] if the instance has been fenced since the connection was
+    /// opened.
     pub async fn position(&self, generation: u64) -> PositionReply {
         self.ask(|reply| InstanceCommand::Position(generation, reply))
             .await
--- a/crates/lab/src/lab_queries.rs
+++ b/crates/lab/src/lab_queries.rs
@@ -1,7 +1,7 @@
 //! Status queries of a [`LabSet`]: instances, the primary, and whether a group is whole.
 //!
-//! A group is whole when all its endpoints answer, hold the primary's log position, and are exactly the
-//! instances that the control catalog lists for the group.
+//! A group is whole when all its endpoints answer, hold the primary's log position, and are exactly
+//! the instances that the control catalog lists for the group.
 
 use crate::lab_set::LabSet;
 use crate::lab_set::STATUS_POLL_INTERVAL;
@@ -32,8 +32,8 @@
         timeout(STATUS_TIMEOUT, request).await.ok()?.ok()
     }
 
-    /// Returns the index of the group's primary: of the endpoints that report to be the primary, the
-    /// one with the highest term. Returns `None` if none does.
+    /// Returns the index of the group's primary: of the endpoints that report to be the primary,
+    /// the one with the highest term. Returns `None` if none does.
     pub async fn find_primary(&self, group: &str) -> Option<usize> {
         let mut best = None;
         for index in self.endpoints_of(group) {
@@ -56,7 +56,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`SetFault::NotWhole`] with the last reason if the group isn't whole after `max_wait`.
+    /// Returns [`SetFault::NotWhole`] with the last reason if the group isn't whole after
+    /// `max_wait`.
     pub async fn wait_until_whole(&self, group: &str, max_wait: Duration) -> Result<(), SetFault> {
         let end = Instant::now() + max_wait;
         loop {
--- a/crates/lab/src/lab_set.rs
+++ b/crates/lab/src/lab_set.rs
@@ -1,5 +1,5 @@
-//! A deployment as a set of local processes: daemons, and endpoints behind relays that inject network
-//! faults and delays.
+//! A deployment as a set of local processes: daemons, and endpoints behind relays that inject
+//! network faults and delays.
 
 use crate::faults::FaultRequest;
 use crate::lab_contract::build_contract;
@@ -95,8 +95,8 @@
 }
 
 impl LabSet {
-    /// Starts daemons and endpoints, forms the control group, waits until all daemons are ready, and
-    /// applies the customer's contract.
+    /// Starts daemons and endpoints, forms the control group, waits until all daemons are ready,
+    /// and applies the customer's contract.
     ///
     /// # Errors
     ///
@@ -268,8 +268,8 @@
         self.start_endpoint(index, false)
     }
 
-    /// Partitions an endpoint from all other processes, or ends the partition. The endpoint's process
-    /// keeps running meanwhile.
+    /// Partitions an endpoint from all other processes, or ends the partition. The endpoint's
+    /// process keeps running meanwhile.
     pub async fn set_cut(&mut self, index: usize, cut: bool) {
         let node = &self.endpoints[index];
         let mode = match cut {
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,5 +1,5 @@
-//! An open-loop load generator: sessions send requests at scheduled times, move between gateways, and
-//! report what they were answered to the consistency check of [`crate::oracle`].
+//! An open-loop load generator: sessions send requests at scheduled times, move between gateways,
+//! and report what they were answered to the consistency check of [`crate::oracle`].
 //!
 //! Latency is measured from a request's scheduled start, not from the time at which it was sent. A
 //! system that delays its callers would otherwise look faster because fewer requests are sent
@@ -178,8 +178,8 @@
     report
 }
 
-/// Reads each list by a read that accepts no stale data. The outer `None` stands for a list that could
-/// not be read, the inner one for a list without a value.
+/// Reads each list by a read that accepts no stale data. The outer `None` stands for a list that
+/// could not be read, the inner one for a list without a value.
 async fn read_final_lists(
     settings: &LoadSettings,
     lists: Vec<String>,
@@ -217,8 +217,8 @@
     answers
 }
 
-/// Runs a statement, after opening a connection if there is none, and drops the connection if there was
-/// no answer.
+/// Runs a statement, after opening a connection if there is none, and drops the connection if there
+/// was no answer.
 async fn run_statement(
     caller: &mut Option<GatewayCaller>,
     settings: &CallerSettings,
@@ -349,8 +349,8 @@
     }
 
     /// Sends a request again with the same request key, through another gateway. Only an
-    /// acknowledgement makes the outcome certain: a refusal of the second attempt says nothing about
-    /// the first one.
+    /// acknowledgement makes the outcome certain: a refusal of the second attempt says nothing
+    /// about the first one.
     async fn resend(&mut self, class: LoadClass, statement: &str) -> WriteOutcome {
         sleep(RESEND_PAUSE).await;
         self.switch_gateway();
--- a/crates/lab/src/load_plan.rs
+++ b/crates/lab/src/load_plan.rs
@@ -120,8 +120,8 @@
 }
 
 impl Default for LoadMix {
-    /// Returns a mix of 70 % reads, 27 % ordinary writes and 3 % urgent writes, similar to the users'
-    /// workloads.
+    /// Returns a mix of 70 % reads, 27 % ordinary writes and 3 % urgent writes, similar to the
+    /// users' workloads.
     fn default() -> Self {
         Self {
             weights: vec![
@@ -205,8 +205,8 @@
     pub mix: LoadMix,
 }
 
-/// Returns the schedule's requests in order of time. The intervals are exponentially distributed, and
-/// the same settings give the same schedule.
+/// Returns the schedule's requests in order of time. The intervals are exponentially distributed,
+/// and the same settings give the same schedule.
 pub fn plan_arrivals(settings: &PlanSettings) -> impl Iterator<Item = LoadArrival> {
     let mut random = StdRng::seed_from_u64(settings.seed);
     let settings = settings.clone();
--- a/crates/lab/src/load_report.rs
+++ b/crates/lab/src/load_report.rs
@@ -8,7 +8,8 @@
 use std::fmt;
 use std::time::Duration;
 
-/// The upper bound of the latency histograms, in microseconds; longer latencies count as this value.
+/// The upper bound of the latency histograms, in microseconds; longer latencies count as this
+/// value.
 const MAX_LATENCY_US: u64 = 120_000_000;
 
 /// The outcome of a request.
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,5 @@
-//! `ragwort-lab`: an endpoint stand-in, and tools that test and measure ragwortgate under load and faults.
+//! `ragwort-lab`: an endpoint stand-in, and tools that test and measure ragwortgate under load and
+//! faults.
 
 use argh::FromArgs;
 use log::LevelFilter;
@@ -32,7 +33,8 @@
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
 
-/// The time for which a leaving endpoint keeps serving, so that its announcements reach all daemons.
+/// The time for which a leaving endpoint keeps serving, so that its announcements reach all
+/// daemons.
 const LEAVING_NOTICE: Duration = Duration::from_millis(1_500);
 
 /// Endpoint stand-in, load tool and reports of ragwortgate.
@@ -137,7 +139,8 @@
     /// lists in use at a time; 16 by default
     #[argh(option, default = "16")]
     lists: usize,
-    /// classes and weights, such as `urgent=3,grant=12,update=15,status=40,fresh=15,own=15,report=1`
+    /// classes and weights, such as
+    /// `urgent=3,grant=12,update=15,status=40,fresh=15,own=15,report=1`
     #[argh(option, default = "LoadMix::default()")]
     mix: LoadMix,
     /// prefix of this run's keys and session names; made from the process id by default
--- a/crates/lab/src/oracle.rs
+++ b/crates/lab/src/oracle.rs
@@ -1,11 +1,11 @@
-//! The consistency check of a load run. It compares the outcomes that callers were told with what reads
-//! returned and with the final content of the database.
+//! The consistency check of a load run. It compares the outcomes that callers were told with what
+//! reads returned and with the final content of the database.
 //!
-//! Callers write to *cells* by `put`, with consecutively numbered values from a single writer, and to
-//! *lists* by `append`, with unique tokens. From these the check detects lost and duplicated writes,
-//! writes that took effect although they were answered "not run", values under a wrong key, violations
-//! of read-your-writes, and reads that are staler than allowed. Times are in microseconds since the start
-//! of the load, and are given by the caller.
+//! Callers write to *cells* by `put`, with consecutively numbered values from a single writer, and
+//! to *lists* by `append`, with unique tokens. From these the check detects lost and duplicated
+//! writes, writes that took effect although they were answered "not run", values under a wrong key,
+//! violations of read-your-writes, and reads that are staler than allowed. Times are in
+//! microseconds since the start of the load, and are given by the caller.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -78,8 +78,8 @@
     StartPut(String),
     /// The caller of the cell's last put was told its outcome.
     ///
-    /// After [`WriteOutcome::MayHaveRun`] the writer must not use the cell again, as the put may still
-    /// take effect at any later time.
+    /// After [`WriteOutcome::MayHaveRun`] the writer must not use the cell again, as the put may
+    /// still take effect at any later time.
     EndPut(String, WriteOutcome),
     /// The writer of a cell read it; `None` means that the cell has no value.
     ReadCell(String, Option<String>),
@@ -301,8 +301,8 @@
         self.seen.entry(list.to_owned()).or_default().extend(tokens);
     }
 
-    /// Checks that no read has returned a write that was answered "not run". Must be called once, when
-    /// the outcomes of all writes are known.
+    /// Checks that no read has returned a write that was answered "not run". Must be called once,
+    /// when the outcomes of all writes are known.
     pub fn check_refused(&mut self) {
         let refused = Some(WriteOutcome::NotRun);
         for (list, tokens) in &self.seen {
--- a/crates/lab/src/ports.rs
+++ b/crates/lab/src/ports.rs
@@ -1,8 +1,8 @@
 //! Selection of unused addresses on 127.0.0.1 for processes that are about to be started.
 //!
-//! Several tests, demos and soak runs may start deployments at the same time. Each process claims blocks
-//! of ports by binding the first port of a block for as long as it runs, and picks from its own blocks
-//! only, so that no two processes pick the same port.
+//! Several tests, demos and soak runs may start deployments at the same time. Each process claims
+//! blocks of ports by binding the first port of a block for as long as it runs, and picks from its
+//! own blocks only, so that no two processes pick the same port.
 
 use std::net::SocketAddr;
 use std::net::TcpListener;
@@ -19,9 +19,9 @@
 /// connection can't use a picked port first.
 const BLOCK_COUNT: u16 = 220;
 
-/// The distance, in blocks, between the first choices of processes with consecutive ids. Children of a
-/// process that has ended may still try to reach its ports, so the next process should start with other
-/// blocks.
+/// The distance, in blocks, between the first choices of processes with consecutive ids. Children
+/// of a process that has ended may still try to reach its ports, so the next process should start
+/// with other blocks.
 const BLOCK_STRIDE: u32 = 7;
 
 /// A block of ports claimed by this process.
@@ -46,9 +46,10 @@
 
     /// Returns the next port on which no process listens.
     ///
-    /// The check is a connection attempt. A trial bind would not do: a child process that is being started
-    /// at that moment inherits the listener and keeps it open until its program is loaded, so that a test
-    /// which waits for another process to listen would connect to the trial listener.
+    /// The check is a connection attempt. A trial bind would not do: a child process that is being
+    /// started at that moment inherits the listener and keeps it open until its program is loaded,
+    /// so that a test which waits for another process to listen would connect to the trial
+    /// listener.
     fn pick(&mut self) -> Option<SocketAddr> {
         while self.used < BLOCK_PORTS {
             let address = on_loopback(self.first + self.used);
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -1,8 +1,8 @@
 //! Child processes, which can be frozen, thawed, terminated and killed.
 //!
-//! A [`ChildProcess`] owns its process: dropping it kills the process, frozen or not, and reaps it, so
-//! that a failed test leaves no processes behind. Signals go to the process id of the child only. Only
-//! this crate starts processes; the daemon must not.
+//! A [`ChildProcess`] owns its process: dropping it kills the process, frozen or not, and reaps it,
+//! so that a failed test leaves no processes behind. Signals go to the process id of the child
+//! only. Only this crate starts processes; the daemon must not.
 
 pub use crate::ports::pick_address;
 use std::fs;
@@ -25,8 +25,8 @@
 /// The interval at which a child that is to stop is polled.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// The maximum number of polls until a child has stopped. This is a timeout of ten seconds; the longest
-/// stop seen took 27 ms.
+/// The maximum number of polls until a child has stopped. This is a timeout of ten seconds; the
+/// longest stop seen took 27 ms.
 const MAX_STOP_POLLS: usize = 10_000;
 
 /// The state of a stopped thread in `/proc/PID/task/TID/stat`.
@@ -94,8 +94,8 @@
 
     /// Stops the child (SIGSTOP) and waits until all its threads have stopped.
     ///
-    /// Sending the signal only begins the stop. On a busy machine, threads of the child ran for up to
-    /// 27 ms after it was sent and answered requests that a frozen process must not answer.
+    /// Sending the signal only begins the stop. On a busy machine, threads of the child ran for up
+    /// to 27 ms after it was sent and answered requests that a frozen process must not answer.
     ///
     /// # Errors
     ///
@@ -145,8 +145,8 @@
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Waits until the child has ended and returns its exit status, or `None` if it is still running
-    /// after `max_wait`.
+    /// Waits until the child has ended and returns its exit status, or `None` if it is still
+    /// running after `max_wait`.
     ///
     /// # Errors
     ///
@@ -162,8 +162,9 @@
         }
     }
 
-    /// Sends a signal to the child. The system may reuse a process id once the child has been reaped,
-    /// so a signal is sent only while `try_wait` shows that it hasn't, and can't reach another process.
+    /// Sends a signal to the child. The system may reuse a process id once the child has been
+    /// reaped, so a signal is sent only while `try_wait` shows that it hasn't, and can't reach
+    /// another process.
     fn send_signal(&mut self, signal: &str) -> io::Result<()> {
         if let Some(status) = self.child.try_wait()? {
             let message = format!("{} has ended: {status}", self.name);
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -1,7 +1,8 @@
-//! A TCP relay that injects network faults: a fixed delay, a partition, and connections that go silent,
-//! as behind a NAT device that has lost its connection table.
+//! A TCP relay that injects network faults: a fixed delay, a partition, and connections that go
+//! silent, as behind a NAT device that has lost its connection table.
 //!
-//! The timers of `tokio` have a resolution of 1 ms, so a delay of 0.5 ms takes 1 to 2 ms in practice.
+//! The timers of `tokio` have a resolution of 1 ms, so a delay of 0.5 ms takes 1 to 2 ms in
+//! practice.
 
 use std::io;
 use std::net::SocketAddr;
@@ -25,8 +26,8 @@
 /// The maximum number of bytes that are read and forwarded at once.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// The maximum number of delayed chunks in one direction. The relay stops reading at this limit, which
-/// exerts back-pressure on the sender.
+/// The maximum number of delayed chunks in one direction. The relay stops reading at this limit,
+/// which exerts back-pressure on the sender.
 const MAX_CHUNKS_IN_FLIGHT: usize = 64;
 
 /// The relay's treatment of open and new connections.
@@ -43,8 +44,8 @@
 #[derive(Clone, Copy, Debug)]
 struct RelayState {
     mode: RelayMode,
-    /// The number of calls of [`FaultRelay::silence_connections`]. A connection is silent if it was opened
-    /// at a lower count.
+    /// The number of calls of [`FaultRelay::silence_connections`]. A connection is silent if it was
+    /// opened at a lower count.
     silence_count: u64,
 }
 
@@ -125,14 +126,14 @@
         }
     }
 
-    /// Changes the mode. Open connections resume with the bytes that were held back when the relay is
-    /// opened again, as TCP connections do after a short partition.
+    /// Changes the mode. Open connections resume with the bytes that were held back when the relay
+    /// is opened again, as TCP connections do after a short partition.
     pub fn set_mode(&self, mode: RelayMode) {
         self.state.send_modify(|state| state.mode = mode);
     }
 
-    /// Stops forwarding on the connections that are open now, for good and without closing them. New
-    /// connections work.
+    /// Stops forwarding on the connections that are open now, for good and without closing them.
+    /// New connections work.
     pub fn silence_connections(&self) {
         self.state.send_modify(|state| state.silence_count += 1);
     }
--- a/crates/lab/src/replication.rs
+++ b/crates/lab/src/replication.rs
@@ -1,7 +1,8 @@
-//! Asynchronous replication: a replica fetches log entries from its primary's agent by long polling.
+//! Asynchronous replication: a replica fetches log entries from its primary's agent by long
+//! polling.
 //!
-//! If the logs have diverged, the replica truncates its own step by step until it is a prefix of the
-//! primary's. Entries are applied once the configured lag has passed since they were written.
+//! If the logs have diverged, the replica truncates its own step by step until it is a prefix of
+//! the primary's. Entries are applied once the configured lag has passed since they were written.
 
 use crate::endpoint::EndpointShared;
 use crate::instance::FetchReply;
--- a/crates/lab/src/scale.rs
+++ b/crates/lab/src/scale.rs
@@ -1,5 +1,5 @@
-//! Measures the processor time, memory and control traffic of each node role, and the latency of contract
-//! changes and of removing a dead VM, on real processes.
+//! Measures the processor time, memory and control traffic of each node role, and the latency of
+//! contract changes and of removing a dead VM, on real processes.
 
 use crate::lab_contract::build_contract;
 use crate::relay::RelayTraffic;
@@ -171,8 +171,8 @@
     nodes: f64,
 }
 
-/// Computes a role's control traffic between two samples. The control VMs' traffic consists of that with
-/// plain members and of that among themselves, which is counted at both ends.
+/// Computes a role's control traffic between two samples. The control VMs' traffic consists of that
+/// with plain members and of that among themselves, which is counted at both ends.
 fn count_traffic(
     set: &ScaleSet,
     role: NodeRole,
@@ -268,8 +268,8 @@
     }
 }
 
-/// Kills up to [`KILLED_VMS`] plain members, each time the one that is leaseholder of the most groups,
-/// and measures the time until it is no longer a member or the leaseholder of any group.
+/// Kills up to [`KILLED_VMS`] plain members, each time the one that is leaseholder of the most
+/// groups, and measures the time until it is no longer a member or the leaseholder of any group.
 async fn measure_removals(set: &mut ScaleSet) -> Result<TimeList, SetFault> {
     let mut times = TimeList::default();
     for _ in 0..KILLED_VMS {
--- a/crates/lab/src/scale_links.rs
+++ b/crates/lab/src/scale_links.rs
@@ -1,7 +1,7 @@
 //! Measures the processor time and memory of an idle link between two VMs, at both ends.
 //!
-//! This process opens the links to one daemon, with the same keep-alive pings as between daemons, and
-//! measures itself as the client side.
+//! This process opens the links to one daemon, with the same keep-alive pings as between daemons,
+//! and measures itself as the client side.
 
 use crate::scale_process::ProcessUse;
 use crate::scale_set::ScaleSet;
@@ -53,11 +53,13 @@
     }
 }
 
-/// Opens idle links to the VM with this index and measures both sides for `time` without and with them.
+/// Opens idle links to the VM with this index and measures both sides for `time` without and with
+/// them.
 ///
 /// # Errors
 ///
-/// Returns [`SetFault::Call`] if a link can't be opened, or [`SetFault::Io`] if `/proc` can't be read.
+/// Returns [`SetFault::Call`] if a link can't be opened, or [`SetFault::Io`] if `/proc` can't be
+/// read.
 pub async fn measure_links(
     set: &ScaleSet,
     index: usize,
--- a/crates/lab/src/scale_path.rs
+++ b/crates/lab/src/scale_path.rs
@@ -1,5 +1,6 @@
-//! Measures the processor time that a statement takes at the gateway, the leaseholder and a standby, the
-//! latency that the path through them adds, and the cost of idle links and connections.
+//! Measures the processor time that a statement takes at the gateway, the leaseholder and a
+//! standby, the latency that the path through them adds, and the cost of idle links and
+//! connections.
 
 use crate::caller::CallerSettings;
 use crate::caller::GatewayCaller;
@@ -44,11 +45,12 @@
 /// The number of sessions of the load through the gateway.
 const SESSIONS: usize = 200;
 
-/// The number of sessions of the direct load. Each has its own connection, and the primary accepts 128
-/// at most, including those of the leaseholder.
+/// The number of sessions of the direct load. Each has its own connection, and the primary accepts
+/// 128 at most, including those of the leaseholder.
 const DIRECT_SESSIONS: usize = 64;
 
-/// The number of idle links to open: about the number of other VMs that the users expect in two years.
+/// The number of idle links to open: about the number of other VMs that the users expect in two
+/// years.
 const IDLE_LINKS: usize = 600;
 
 /// The value of the customer's limits, which no run reaches.
@@ -189,8 +191,8 @@
     })
 }
 
-/// Selects a group whose leaseholder is a plain member, and as its gateway a plain member that is neither
-/// leaseholder nor standby of the group.
+/// Selects a group whose leaseholder is a plain member, and as its gateway a plain member that is
+/// neither leaseholder nor standby of the group.
 fn find_roles(set: &ScaleSet, status: &NodeStatus) -> Result<PathRoles, SetFault> {
     let index_of = |vm: &str| set.nodes.iter().position(|node| node.vm == vm);
     for group in 0..GROUPS {
--- a/crates/lab/src/scale_process.rs
+++ b/crates/lab/src/scale_process.rs
@@ -24,8 +24,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an [`io::Error`] if `/proc` can't be read or parsed, for example because the process has
-    /// ended.
+    /// Returns an [`io::Error`] if `/proc` can't be read or parsed, for example because the process
+    /// has ended.
     pub fn read(process_id: u32) -> io::Result<Self> {
         let stat = fs::read_to_string(format!("/proc/{process_id}/stat"))?;
         let status = fs::read_to_string(format!("/proc/{process_id}/status"))?;
